--- a/internal/batch/interf/load_test.go
+++ b/internal/batch/interf/load_test.go
@@ -26,7 +26,7 @@
 				return 0.5 + tt.swing*math.Sin(2*math.Pi*at/tt.period+2*float64(step))
 			}
 			var m Model
-			loads := []*Load{NewLoad(0), NewLoad(0), NewLoad(0)}
+			loads := []*LoadForecast{NewLoadForecast(0), NewLoadForecast(0), NewLoadForecast(0)}
 			var n, square float64
 			for at := 0.0; at < 40; at += 0.2 {
 				for i, l := range loads {
@@ -34,12 +34,12 @@
 					if rng.IntN(20) == 0 {
 						noise = 0.3
 					}
-					l.learn(at, truth(i, at)+noise, 1, &m.score)
-					m.age(at)
+					l.update(at, truth(i, at)+noise, 1, &m.squaredErrors)
+					m.decayErrors(at)
 					if at < 20 {
 						continue
 					}
-					miss := l.expect(at+1, m.period) - truth(i, at+1)
+					miss := l.forecast(at+1, m.bestPeriod) - truth(i, at+1)
 					n, square = n+1, square+miss*miss
 				}
 			}
@@ -53,15 +53,15 @@
 // A reading far off must not move the load in proportion to its error.
 func TestOutlier(t *testing.T) {
 	shift := func(error float64) float64 {
-		var score [periods]float64
-		var l Load
+		var score [periodCount]float64
+		var l LoadForecast
 		for i := range 20 {
-			l.learn(float64(i)/5, priorLoad, 1, &score)
+			l.update(float64(i)/5, priorLoad, 1, &score)
 		}
-		l.learn(4, priorLoad+error, 1, &score)
-		return l.expect(4, 0) - priorLoad
+		l.update(4, priorLoad+error, 1, &score)
+		return l.forecast(4, 0) - priorLoad
 	}
-	near, far := shift(outlierBound*readingNoise), shift(4*outlierBound*readingNoise)
+	near, far := shift(outlierThreshold*loadMeasurementNoise), shift(4*outlierThreshold*loadMeasurementNoise)
 	if near <= 0 || far > 2*near {
 		t.Errorf("the load moves by %.4f, and by %.4f with an error four times as large", near, far)
 	}
--- a/internal/batch/interf/model_test.go
+++ b/internal/batch/interf/model_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	target = 24 * time.Millisecond
-	rest   = target / 6 // tail without any load
+	target       = 24 * time.Millisecond
+	unloadedTail = target / 6 // tail without any load
 )
 
-// tailAt returns the tail that shows a pressure.
-func tailAt(pressure float64) time.Duration {
-	return time.Duration(float64(rest) / (1 - pressure))
+// tailForPressure returns the tail that shows a pressure.
+func tailForPressure(pressure float64) time.Duration {
+	return time.Duration(float64(unloadedTail) / (1 - pressure))
 }
 
-func TestPressureOf(t *testing.T) {
+func TestPressureFromTail(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		tail, target time.Duration
@@ -27,21 +27,21 @@
 	}{
 		{"no reading", 0, target, 0},
 		{"no target", target, 0, 0},
-		{"without any load", rest, target, 0},
-		{"below what is possible", rest / 2, target, 0},
+		{"without any load", unloadedTail, target, 0},
+		{"below what is possible", unloadedTail / 2, target, 0},
 		{"half of the target", target / 2, target, 2.0 / 3},
 		{"at the target", target, target, TargetPressure},
 		{"twice the target", 2 * target, target, 11.0 / 12},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := pressureOf(tt.tail, tt.target); math.Abs(got-tt.want) > 1e-6 {
+			if got := pressureFromTail(tt.tail, tt.target); math.Abs(got-tt.want) > 1e-6 {
 				t.Errorf("pressure %.4f, want %.4f", got, tt.want)
 			}
 		})
 	}
 }
 
-func TestOverTargetProbability(t *testing.T) {
+func TestOverTargetRisk(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		above float64
@@ -49,19 +49,19 @@
 	}{
 		{"far below", -0.5, 0},
 		{"just as likely as not", 0, 0.5},
-		{"surely", pressureSpread, 1},
-		{"far above", 3 * pressureSpread, 2},
+		{"surely", maxPressureError, 1},
+		{"far above", 3 * maxPressureError, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := OverTargetProbability(tt.above); math.Abs(got-tt.want) > 1e-9 {
+			if got := OverTargetRisk(tt.above); math.Abs(got-tt.want) > 1e-9 {
 				t.Errorf("%.4f, want %.4f", got, tt.want)
 			}
 		})
 	}
 }
 
-func TestUsageAdd(t *testing.T) {
-	var use Usage
+func TestCPUUsageAdd(t *testing.T) {
+	var use CPUUsage
 	use.Add("book", 0.1)
 	use.Add("audit", 0.2)
 	use.Add("book", 0.3)
@@ -73,33 +73,33 @@
 // A model, a load and factors need no construction: without a reading they tell the priors.
 func TestZeroValues(t *testing.T) {
 	var m Model
-	var l Load
-	if got := m.Expect(&l, 7); got != priorLoad {
+	var l LoadForecast
+	if got := m.ExpectedLoad(&l, 7); got != priorLoad {
 		t.Errorf("load %v, want %v", got, priorLoad)
 	}
-	if got := m.Peak(&l, 7, 2); got != priorLoad {
+	if got := m.PeakLoad(&l, 7, 2); got != priorLoad {
 		t.Errorf("peak %v, want %v", got, priorLoad)
 	}
 	if got := m.Period(); got != 0 {
 		t.Errorf("period %v, want none", got)
 	}
-	if s, ok := m.Swing(&l); ok {
+	if s, ok := m.Fit(&l); ok {
 		t.Errorf("swing %v without a reading", s)
 	}
 	var f Factors
-	if of, mean := f.Compare("book"); of != priorFactor || mean != priorFactor {
+	if of, mean := f.FactorAndMean("book"); of != priorFactor || mean != priorFactor {
 		t.Errorf("factor %v of %v, want %v of both", of, mean, priorFactor)
 	}
 	for i := range 20 {
-		m.Learn(1e9+float64(i), &l, "feed", tailAt(0.7), target, Usage{})
+		m.Observe(1e9+float64(i), &l, "feed", tailForPressure(0.7), target, CPUUsage{})
 	}
-	if got := m.Expect(&l, 1e9+20); math.Abs(got-0.7) > 0.05 {
+	if got := m.ExpectedLoad(&l, 1e9+20); math.Abs(got-0.7) > 0.05 {
 		t.Errorf("load %.2f after readings of 0.70", got)
 	}
 }
 
 // The factors of two filling images are told apart from the users' load, though each reading shows only the sum of all.
-func TestFactorsLearned(t *testing.T) {
+func TestFactorsConverge(t *testing.T) {
 	truth := map[string]float64{"mild": 0.1, "harsh": 1.2}
 	for _, tt := range []struct {
 		name  string
@@ -111,29 +111,29 @@
 		t.Run(tt.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(3, 4))
 			var m Model
-			l := NewLoad(0)
+			l := NewLoadForecast(0)
 			for at := 0.0; at < 120; at += 0.5 {
-				pressure := 0.4 + tt.swing*math.Sin(2*math.Pi*(at-lag)/10) + 0.03*rng.NormFloat64()
-				var use Usage
+				pressure := 0.4 + tt.swing*math.Sin(2*math.Pi*(at-measurementLag)/10) + 0.03*rng.NormFloat64()
+				var use CPUUsage
 				for _, image := range []string{"mild", "harsh"} {
 					if share := 0.25 * float64(rng.IntN(2)); share > 0 {
 						use.Add(image, share)
 						pressure += truth[image] * share
 					}
 				}
-				m.Learn(at, l, "feed", tailAt(pressure), target, use)
+				m.Observe(at, l, "feed", tailForPressure(pressure), target, use)
 			}
 			f := m.Factors("feed")
 			for image, want := range truth {
-				if got := f.Of(image); math.Abs(got-want) > 0.2 {
+				if got := f.Factor(image); math.Abs(got-want) > 0.2 {
 					t.Errorf("factor of %s: %.2f, want %.2f", image, got, want)
 				}
 			}
-			of, mean := f.Compare("harsh")
-			if of != f.Of("harsh") || mean != (f.Of("mild")+f.Of("harsh"))/2 {
+			of, mean := f.FactorAndMean("harsh")
+			if of != f.Factor("harsh") || mean != (f.Factor("mild")+f.Factor("harsh"))/2 {
 				t.Errorf("harsh is %.2f beside %.2f", of, mean)
 			}
-			if got := f.Of("unseen"); got != priorFactor {
+			if got := f.Factor("unseen"); got != priorFactor {
 				t.Errorf("factor of an image never seen: %.2f, want %.2f", got, priorFactor)
 			}
 		})
@@ -141,23 +141,23 @@
 }
 
 // The cached comparison of an image must not outlive a reading that changes its factor.
-func TestCompareAfterLearn(t *testing.T) {
+func TestFactorAndMeanAfterObserve(t *testing.T) {
 	var m Model
-	l := NewLoad(0)
-	var use Usage
+	l := NewLoadForecast(0)
+	var use CPUUsage
 	use.Add("book", 0.3)
-	m.Restore(0, State{Pairs: []Pair{{"feed", "book", priorFactor, factorSpread}}})
+	m.Restore(0, State{Pairs: []Pair{{"feed", "book", priorFactor, priorFactorStdDev}}})
 	f := m.Factors("feed")
-	f.Compare("book")
-	m.Learn(1, l, "feed", tailAt(0.9), target, use)
-	of, mean := f.Compare("book")
-	if of <= priorFactor || of != f.Of("book") || mean != of {
-		t.Errorf("factor %.3f beside %.3f, want %.3f of both, above %.3f", of, mean, f.Of("book"), priorFactor)
+	f.FactorAndMean("book")
+	m.Observe(1, l, "feed", tailForPressure(0.9), target, use)
+	of, mean := f.FactorAndMean("book")
+	if of <= priorFactor || of != f.Factor("book") || mean != of {
+		t.Errorf("factor %.3f beside %.3f, want %.3f of both, above %.3f", of, mean, f.Factor("book"), priorFactor)
 	}
 }
 
 // Readings that say nothing change nothing.
-func TestReadingIgnored(t *testing.T) {
+func TestMeasurementIgnored(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		tail time.Duration
@@ -167,16 +167,16 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var m Model
-			l := NewLoad(0)
+			l := NewLoadForecast(0)
 			m.Restore(0, State{Pairs: []Pair{{"feed", "book", 2, 0.1}}})
-			var use Usage
+			var use CPUUsage
 			use.Add("book", 0.5)
 			before := *l
-			m.Learn(1, l, "feed", tt.tail, target, use)
+			m.Observe(1, l, "feed", tt.tail, target, use)
 			if *l != before {
 				t.Error("the load changed")
 			}
-			if got := m.Factors("feed").Of("book"); got != 2 {
+			if got := m.Factors("feed").Factor("book"); got != 2 {
 				t.Errorf("factor %.2f, want 2.00", got)
 			}
 		})
@@ -213,9 +213,9 @@
 		value any
 		want  string
 	}{
-		{"state", State{Score: []float64{1, 2}, Pairs: []Pair{{"feed", "book", 1.2, 0.1}}},
+		{"state", State{SquaredErrors: []float64{1, 2}, Pairs: []Pair{{"feed", "book", 1.2, 0.1}}},
 			`{"score":[1,2],"pairs":[{"serve":"feed","fill":"book","factor":1.2,"spread":0.1}]}`},
-		{"swing", Swing{0.5, 0.1, -0.2}, `{"level":0.5,"cos":0.1,"sin":-0.2}`},
+		{"swing", LoadFit{0.5, 0.1, -0.2}, `{"level":0.5,"cos":0.1,"sin":-0.2}`},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			got, err := json.Marshal(tt.value)
@@ -230,7 +230,7 @@
 }
 
 func TestRestore(t *testing.T) {
-	score := make([]float64, periods)
+	score := make([]float64, periodCount)
 	for i := range score {
 		score[i] = 5
 	}
@@ -240,13 +240,13 @@
 		score  []float64
 		period float64
 	}{
-		{"scores of all periods", score, memory[4]},
+		{"scores of all periods", score, timeConstant[4]},
 		{"scores of other periods", score[:8], 0},
 		{"no scores", nil, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var m Model
-			m.Restore(9, State{Score: tt.score, Pairs: []Pair{{"feed", "book", 1.2, 0.1}}})
+			m.Restore(9, State{SquaredErrors: tt.score, Pairs: []Pair{{"feed", "book", 1.2, 0.1}}})
 			if got := m.Period(); got != tt.period {
 				t.Errorf("period %.2f, want %.2f", got, tt.period)
 			}
@@ -266,16 +266,16 @@
 	}
 }
 
-func TestPeak(t *testing.T) {
-	score := make([]float64, periods)
+func TestPeakLoad(t *testing.T) {
+	score := make([]float64, periodCount)
 	for i := range score {
 		score[i] = 5
 	}
 	score[4] = 1
 	var m Model
-	m.Restore(0, State{Score: score})
-	var l Load
-	m.Seed(&l, 0, Swing{Level: 0.5, Sin: 0.2})
+	m.Restore(0, State{SquaredErrors: score})
+	var l LoadForecast
+	m.SeedLoad(&l, 0, LoadFit{Level: 0.5, Sin: 0.2})
 	quarter := m.Period() / 4 // the load's maximum
 	for _, tt := range []struct {
 		name             string
@@ -287,7 +287,7 @@
 		{"falling", quarter, quarter, quarter},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if got, want := m.Peak(&l, tt.at, tt.ahead), m.Expect(&l, tt.where); math.Abs(got-want) > 1e-9 {
+			if got, want := m.PeakLoad(&l, tt.at, tt.ahead), m.ExpectedLoad(&l, tt.where); math.Abs(got-want) > 1e-9 {
 				t.Errorf("%.3f, want %.3f", got, want)
 			}
 		})
@@ -295,7 +295,7 @@
 }
 
 // A load seeded with another's swing tells the same as the other.
-func TestSeed(t *testing.T) {
+func TestSeedLoad(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		swing float64
@@ -305,12 +305,12 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var former, next Model
-			l := NewLoad(0)
+			l := NewLoadForecast(0)
 			truth := func(at float64) float64 { return 0.5 + tt.swing*math.Sin(2*math.Pi*at/10) }
 			for at := 0.0; at < 40; at += 0.2 {
-				former.Learn(at+lag, l, "feed", tailAt(truth(at)), target, Usage{})
+				former.Observe(at+measurementLag, l, "feed", tailForPressure(truth(at)), target, CPUUsage{})
 			}
-			s, ok := former.Swing(l)
+			s, ok := former.Fit(l)
 			if !ok {
 				t.Fatal("no swing after 200 readings")
 			}
@@ -318,10 +318,10 @@
 			if next.Period() != former.Period() {
 				t.Errorf("period %.2f, want %.2f", next.Period(), former.Period())
 			}
-			var seeded Load
-			next.Seed(&seeded, 40, s)
+			var seeded LoadForecast
+			next.SeedLoad(&seeded, 40, s)
 			for _, at := range []float64{40, 42.5, 45, 47.5} {
-				if got := next.Expect(&seeded, at); math.Abs(got-truth(at)) > 0.08 {
+				if got := next.ExpectedLoad(&seeded, at); math.Abs(got-truth(at)) > 0.08 {
 					t.Errorf("load at %.1f s: %.2f, want %.2f", at, got, truth(at))
 				}
 			}
--- a/internal/batch/sched/core.go
+++ b/internal/batch/sched/core.go
@@ -115,12 +115,12 @@
 	misfits *misfits // of its kind; nil: not looked up yet
 	starved bool     // see Core.starve
 	at      time.Time
-	short   time.Time       // since when a task of it has found no place; zero: none has lacked one
-	told    time.Duration   // how long it had waited when that was last told; 0: it wasn't
-	due     time.Time       // latest start for the job to be on time
-	worth   time.Time       // latest start for it to be worth something, late
-	took    []time.Duration // that its tasks ran which have ended
-	load    *interf.Load    // of a serving step: its users' load
+	short   time.Time            // since when a task of it has found no place; zero: none has lacked one
+	told    time.Duration        // how long it had waited when that was last told; 0: it wasn't
+	due     time.Time            // latest start for the job to be on time
+	worth   time.Time            // latest start for it to be worth something, late
+	took    []time.Duration      // that its tasks ran which have ended
+	load    *interf.LoadForecast // of a serving step: its users' load
 }
 
 type task struct {
--- a/internal/batch/sched/forecast.go
+++ b/internal/batch/sched/forecast.go
@@ -63,7 +63,7 @@
 	for _, o := range w.list {
 		if o.fills() {
 			z := o.task.stage.spec
-			sum += f.Of(z.Image) * z.share(w) * float64(o.want) / fullPace
+			sum += f.Factor(z.Image) * z.share(w) * float64(o.want) / fullPace
 		}
 	}
 	return sum
@@ -75,7 +75,7 @@
 	if !r.serves() {
 		return baseLoad
 	}
-	return min(1, c.interference.Expect(c.loadOf(r.task.stage), c.seconds(now)+placeAhead/2))
+	return min(1, c.interference.ExpectedLoad(c.loadOf(r.task.stage), c.seconds(now)+placeAhead/2))
 }
 
 // share returns the share of a worker's processors that a task of the step asks for.
@@ -90,8 +90,8 @@
 func (c *Core) effect(now time.Time, w *worker, s *Step) (harm, advantage float64) {
 	share := s.share(w)
 	for _, k := range c.forecast(now, w).exposed {
-		of, mean := k.factors.Compare(s.Image)
-		harm += interf.OverTargetProbability(k.above+of*share) - interf.OverTargetProbability(k.above)
+		of, mean := k.factors.FactorAndMean(s.Image)
+		harm += interf.OverTargetRisk(k.above+of*share) - interf.OverTargetRisk(k.above)
 		advantage += mean - of
 	}
 	return harm, advantage * share
@@ -105,14 +105,14 @@
 }
 
 // loadOf returns the load of a serving step.
-func (c *Core) loadOf(s *stage) *interf.Load {
+func (c *Core) loadOf(s *stage) *interf.LoadForecast {
 	if s.load == nil {
-		s.load = interf.NewLoad(c.seconds(s.at))
+		s.load = interf.NewLoadForecast(c.seconds(s.at))
 	}
 	return s.load
 }
 
 // peakLoad returns the most load expected of a serving step within some seconds.
 func (c *Core) peakLoad(now time.Time, s *stage, ahead float64) float64 {
-	return c.interference.Peak(c.loadOf(s), c.seconds(now), ahead)
+	return c.interference.PeakLoad(c.loadOf(s), c.seconds(now), ahead)
 }
--- a/internal/batch/sched/learned.go
+++ b/internal/batch/sched/learned.go
@@ -21,7 +21,7 @@
 	Job   string `json:"job"`
 	Round int    `json:"round,omitempty"`
 	Step  int    `json:"step,omitempty"`
-	interf.Swing
+	interf.LoadFit
 }
 
 // Learned returns what has been learned of images and loads, for a next holder: learning it anew
@@ -37,7 +37,7 @@
 				if s.load == nil {
 					continue
 				}
-				if f, ok := c.interference.Swing(s.load); ok {
+				if f, ok := c.interference.Fit(s.load); ok {
 					l.Loads = append(l.Loads, learnedLoad{id, s.round, s.idx, f})
 				}
 			}
@@ -57,7 +57,7 @@
 	c.interference.Restore(now, l.State)
 	for _, f := range l.Loads {
 		if t := c.task(TaskID{Job: f.Job, Round: f.Round, Step: f.Step}); t != nil {
-			c.interference.Seed(c.loadOf(t.stage), now, f.Swing)
+			c.interference.SeedLoad(c.loadOf(t.stage), now, f.LoadFit)
 		}
 	}
 	return nil
--- a/internal/batch/sched/learned_test.go
+++ b/internal/batch/sched/learned_test.go
@@ -25,10 +25,10 @@
 	truth := func(at time.Time) float64 { return 0.5 + 0.24*math.Sin(2*math.Pi*at.Sub(start).Seconds()/20+1) }
 	k := former.loadOf(former.jobs["feed"].rounds[0].stages[0])
 	for at := start; at.Before(start.Add(30 * time.Second)); at = at.Add(200 * time.Millisecond) {
-		former.interference.Learn(former.seconds(at)+lag, k, "a", tail(truth(at)), target, interf.Usage{})
+		former.interference.Observe(former.seconds(at)+lag, k, "a", tail(truth(at)), target, interf.CPUUsage{})
 	}
 	known := former.interference.State()
-	known.Pairs = append(known.Pairs, interf.Pair{Serve: "a", Fill: "book", Factor: 1.2, Spread: 0.05})
+	known.Pairs = append(known.Pairs, interf.Pair{LatencyCritical: "a", BestEffort: "book", Factor: 1.2, StdDev: 0.05})
 	former.interference.Restore(former.seconds(start.Add(30*time.Second)), known)
 	data, err := former.Learned()
 	if err != nil {
@@ -44,19 +44,19 @@
 	period := next.interference.Period()
 	stage := next.jobs["feed"].rounds[0].stages[0]
 	at := next.seconds(next.began.Add(200 * time.Millisecond))
-	var use interf.Usage
+	var use interf.CPUUsage
 	use.Add("book", 0.2)
-	next.interference.Learn(at, next.loadOf(stage), "a", 100*time.Millisecond, target, use)
+	next.interference.Observe(at, next.loadOf(stage), "a", 100*time.Millisecond, target, use)
 	if got := next.interference.Period(); got != period || period == 0 {
 		t.Errorf("period %.1f s after a reading, %.1f s was handed on", got, period)
 	}
-	if f := next.interference.Factors("a").Of("book"); math.Abs(f-1.2) > 0.1 {
+	if f := next.interference.Factors("a").Factor("book"); math.Abs(f-1.2) > 0.1 {
 		t.Errorf("factor %.2f after a reading, 1.20 was handed on", f)
 	}
 	for _, ahead := range []time.Duration{time.Second, 4 * time.Second, 9 * time.Second} {
 		at := next.began.Add(ahead)
-		next.interference.Learn(next.seconds(at)+lag, next.loadOf(stage), "a", tail(truth(at)+0.05), target, interf.Usage{})
-		got := next.interference.Expect(next.loadOf(stage), next.seconds(at))
+		next.interference.Observe(next.seconds(at)+lag, next.loadOf(stage), "a", tail(truth(at)+0.05), target, interf.CPUUsage{})
+		got := next.interference.ExpectedLoad(next.loadOf(stage), next.seconds(at))
 		if math.Abs(got-truth(at)) > 0.06 {
 			t.Errorf("load in %s: %.2f, want %.2f", ahead, got, truth(at))
 		}
--- a/internal/batch/sched/pace.go
+++ b/internal/batch/sched/pace.go
@@ -67,7 +67,7 @@
 	f := c.interference.Factors(s.task.stage.spec.Image)
 	for i, r := range fills {
 		z := r.task.stage.spec
-		if most == 0 || f.Of(z.Image)*z.share(w) > disturbs {
+		if most == 0 || f.Factor(z.Image)*z.share(w) > disturbs {
 			paces[i] = min(paces[i], most)
 		}
 	}
@@ -95,7 +95,7 @@
 		adds := make([]float64, len(fills))
 		for i, r := range fills {
 			z := r.task.stage.spec
-			adds[i] = f.Of(z.Image) * z.share(w)
+			adds[i] = f.Factor(z.Image) * z.share(w)
 			above += adds[i]
 		}
 		b.adds = append(b.adds, adds)
@@ -130,7 +130,7 @@
 	part := float64(b.paces[i]-pace) / fullPace
 	sum := -part
 	for k, x := range b.above {
-		sum += serveWorth * (interf.OverTargetProbability(x) - interf.OverTargetProbability(x-part*b.adds[k][i]))
+		sum += serveWorth * (interf.OverTargetRisk(x) - interf.OverTargetRisk(x-part*b.adds[k][i]))
 	}
 	return sum
 }
--- a/internal/batch/sched/share.go
+++ b/internal/batch/sched/share.go
@@ -60,7 +60,7 @@
 			continue
 		}
 		if st := r.task.stage; r.ready {
-			c.interference.Learn(c.seconds(now), c.loadOf(st), st.spec.Image, r.tail, st.spec.Target, use)
+			c.interference.Observe(c.seconds(now), c.loadOf(st), st.spec.Image, r.tail, st.spec.Target, use)
 		}
 		r.clock(now, later(before, now.Add(-oldest)), w.share.busy)
 		if !r.over.IsZero() && now.Sub(r.over) >= overSoon {
@@ -119,8 +119,8 @@
 }
 
 // fillUse returns what each filling image uses on the worker.
-func (w *worker) fillUse() interf.Usage {
-	var use interf.Usage
+func (w *worker) fillUse() interf.CPUUsage {
+	var use interf.CPUUsage
 	for _, r := range w.list {
 		if r.fills() && r.state == RunLive && r.usage > 0 {
 			use.Add(r.task.stage.spec.Image, r.usage/float64(max(w.Size.CPU, 1)))
