--- a/internal/batch/health/breaker_test.go
+++ b/internal/batch/health/breaker_test.go
@@ -53,11 +53,11 @@
 				now := start.Add(e.at)
 				switch {
 				case e.rest > 0:
-					b.Rest(start.Add(e.rest))
+					b.TripUntil(start.Add(e.rest))
 				case e.job != "":
-					b.Failed(now, e.job)
+					b.RecordFailure(now, e.job)
 				default:
-					b.Succeeded()
+					b.RecordSuccess()
 				}
 			}
 			if b.Tripped(start.Add(tt.until)) {
--- a/internal/batch/sched/answer.go
+++ b/internal/batch/sched/answer.go
@@ -86,10 +86,10 @@
 		r.state = RunStopped
 		r.sure = now
 	case OutcomeRoom:
-		w.breaker.Rest(now.Add(roomRest))
+		w.breaker.TripUntil(now.Add(roomRest))
 		c.free(r)
 	case OutcomeSick:
-		w.breaker.Rest(now.Add(sickRest))
+		w.breaker.TripUntil(now.Add(sickRest))
 		c.free(r)
 	default:
 		c.free(r)
--- a/internal/batch/sched/hear.go
+++ b/internal/batch/sched/hear.go
@@ -297,7 +297,7 @@
 
 // taskDone notes a task's success, through whichever run.
 func (c *Core) taskDone(now time.Time, w *worker, t *task, r *run) {
-	w.breaker.Succeeded()
+	w.breaker.RecordSuccess()
 	if r != nil && t.run == r {
 		t.run = nil
 		took := now.Sub(r.began)
@@ -339,7 +339,7 @@
 }
 
 func (c *Core) taskFailed(now time.Time, w *worker, t *task, run int64) {
-	w.breaker.Failed(now, t.stage.job.ID)
+	w.breaker.RecordFailure(now, t.stage.job.ID)
 	t.avoid = w.ID
 	j := t.stage.job
 	c.changes.add(j)
--- a/internal/batch/sched/straggler.go
+++ b/internal/batch/sched/straggler.go
@@ -67,7 +67,7 @@
 				continue
 			}
 			taken[to] = true
-			w.breaker.Failed(now, r.task.stage.job.ID)
+			w.breaker.RecordFailure(now, r.task.stage.job.ID)
 			r.sent = time.Time{} // the stop is sent at once
 			c.stop(r)
 		}
