--- a/internal/batch/drive/commit.go
+++ b/internal/batch/drive/commit.go
@@ -38,7 +38,7 @@
 			if err != nil {
 				// What had been taken to be stored is known here only; the next holder starts from what is stored.
 				h.log.Error(err, "record can't be written")
-				h.opt.Tenure.Over()
+				h.opt.Tenure.End()
 				return
 			}
 			if r == nil {
@@ -69,7 +69,7 @@
 		return true
 	}
 	h.log.Info("write failed", "cause", err.Error(), "writes", len(r.writes))
-	h.opt.Tenure.Over()
+	h.opt.Tenure.End()
 	return false
 }
 
--- a/internal/batch/drive/fleet_test.go
+++ b/internal/batch/drive/fleet_test.go
@@ -124,7 +124,7 @@
 	if h.f.wrap != nil {
 		crew = h.f.wrap(crew)
 	}
-	l := lead.New(lead.Options{Store: client, Name: h.name, Addr: h.name, Lease: drive.HolderLease, Log: logr.Discard(), Alive: h.f.alive, Carries: func() int { return int(h.carries.Load()) }})
+	l := lead.New(lead.Options{Store: client, Name: h.name, Addr: h.name, LeaseTTL: drive.HolderLease, Log: logr.Discard(), HolderAlive: h.f.alive, Capacity: func() int { return int(h.carries.Load()) }})
 	h.wg.Go(func() {
 		l.Run(ctx, func(t *lead.Tenure) {
 			_ = drive.Run(drive.Options{ // its error tells of the tenure's end
--- a/internal/batch/drive/work.go
+++ b/internal/batch/drive/work.go
@@ -67,7 +67,7 @@
 
 // confirm tells the core how fresh the tenure is; h.mu is held.
 func (h *Holder) confirm() {
-	h.core.Confirm(h.opt.Tenure.Sure())
+	h.core.Confirm(h.opt.Tenure.ConfirmedAt())
 	if h.opt.PeersSure != nil {
 		h.core.ConfirmByPeers(h.opt.PeersSure())
 	}
@@ -113,7 +113,7 @@
 // fenced ends the tenure: a worker knows a newer holder.
 func (h *Holder) fenced(worker string) {
 	h.log.Info("fenced by a newer holder", "worker", worker)
-	h.opt.Tenure.Over()
+	h.opt.Tenure.End()
 }
 
 // poll has a goroutine for each worker.
--- a/internal/ctrl/lead/patience_test.go
+++ b/internal/ctrl/lead/delay_test.go
@@ -15,9 +15,9 @@
 	"bramleysail.example/bramleysail/internal/fake/multi"
 )
 
-// race starts processes that carry so much, with a load in the store, and returns who claims, by
+// runElection starts processes that carry so much, with a load in the store, and returns who claims, by
 // its number, and after what time. The key is vacant from the start on.
-func race(t *testing.T, load string, carries ...int) (int, time.Duration) {
+func runElection(t *testing.T, load string, carries ...int) (int, time.Duration) {
 	s := &multi.Service{}
 	if load != "" {
 		s.Put("lead/load", []byte(load))
@@ -27,7 +27,7 @@
 	began := time.Now()
 	won := make(chan int, len(carries))
 	for i, c := range carries {
-		l := lead.New(lead.Options{Store: s.Client(nil), Name: fmt.Sprint(i), Lease: time.Second, Log: logr.Discard(), Carries: func() int { return c }})
+		l := lead.New(lead.Options{Store: s.Client(nil), Name: fmt.Sprint(i), LeaseTTL: time.Second, Log: logr.Discard(), Capacity: func() int { return c }})
 		wg.Go(func() {
 			l.Run(ctx, func(t *lead.Tenure) {
 				won <- i
@@ -49,7 +49,7 @@
 // All processes start at once, or see the holder lost: whoever can carry the load claims, before
 // those that would starve under it. Where nobody can or nothing is known, the key mustn't stay
 // vacant for it.
-func TestPatience(t *testing.T) {
+func TestClaimDelay(t *testing.T) {
 	const atOnce = 200 * time.Millisecond
 	for _, tt := range []struct {
 		name    string
@@ -69,7 +69,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				first, took := race(t, tt.load, tt.carries...)
+				first, took := runElection(t, tt.load, tt.carries...)
 				if tt.first >= 0 && first != tt.first {
 					t.Errorf("%d claims, want %d", first, tt.first)
 				}
@@ -83,14 +83,14 @@
 
 // The load becomes known only after a process has begun to follow: the workers have joined since.
 // It is as patient then as with the load known before, and hears of the new holder at once.
-func TestPatienceFresh(t *testing.T) {
+func TestClaimDelayLoadKnownLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &multi.Service{}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		s.Put("lead/holder", []byte(`{"name":"old","term":1}`))
 		s.Put("lead/term", []byte("1"))
-		l := lead.New(lead.Options{Store: s.Client(nil), Name: "weak", Lease: time.Second, Log: logr.Discard(), Carries: func() int { return 91 }})
+		l := lead.New(lead.Options{Store: s.Client(nil), Name: "weak", LeaseTTL: time.Second, Log: logr.Discard(), Capacity: func() int { return 91 }})
 		wg.Go(func() { l.Run(ctx, func(t *lead.Tenure) { <-t.Context().Done() }) })
 		time.Sleep(time.Second)
 		s.Put("lead/load", []byte("350"))
@@ -116,7 +116,7 @@
 
 // A machine that has turned slow wins the race for the key of a lost holder, as it carries the load by what it
 // was when its process started, and starves under it.
-func TestPatienceSlowed(t *testing.T) {
+func TestClaimDelaySlowedProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &multi.Service{}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -125,9 +125,9 @@
 		s.Put("lead/term", []byte("1"))
 		s.Put("lead/load", []byte("350"))
 		var slowed atomic.Bool
-		var sound *lead.Lead
+		var sound *lead.Elector
 		for i := range 8 {
-			l := lead.New(lead.Options{Store: s.Client(nil), Name: fmt.Sprint(i), Lease: time.Second, Log: logr.Discard(), Carries: func() int {
+			l := lead.New(lead.Options{Store: s.Client(nil), Name: fmt.Sprint(i), LeaseTTL: time.Second, Log: logr.Discard(), Capacity: func() int {
 				if i > 0 && slowed.Load() {
 					return 91
 				}
@@ -152,13 +152,13 @@
 
 // A process that is about to stop, or has handed over, rests from claiming. Its callers are refused until it
 // knows of the next holder: it slept through its rest and polled the store only then.
-func TestRestHears(t *testing.T) {
+func TestSuspendedClaimsWatchHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &multi.Service{}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		l := lead.New(lead.Options{Store: s.Client(nil), Name: "resting", Lease: time.Second, Log: logr.Discard()})
-		l.Rest(5 * time.Second)
+		l := lead.New(lead.Options{Store: s.Client(nil), Name: "resting", LeaseTTL: time.Second, Log: logr.Discard()})
+		l.SuspendClaims(5 * time.Second)
 		wg.Go(func() { l.Run(ctx, func(t *lead.Tenure) { <-t.Context().Done() }) })
 		time.Sleep(time.Second)
 		s.Put("lead/holder", []byte(`{"name":"next","term":2}`))
--- a/internal/ctrl/lead/tenure_test.go
+++ b/internal/ctrl/lead/tenure_test.go
@@ -17,19 +17,19 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// clientLimit is the time after which a host's client gives a call of the store up.
-const clientLimit = time.Second
+// clientTimeout is the time after which a host's client gives a call of the store up.
+const clientTimeout = time.Second
 
-// silent is a way to the store on which some renewals get no answer, as on a connection that has gone
-// silent: the next one is made on a new connection.
-type silent struct {
+// silentStore is a way to the store on which some renewals get no answer, as on a connection that has gone
+// silentStore: the next one is made on a new connection.
+type silentStore struct {
 	store.Multi
-	hang atomic.Int64 // renewals to come that get none
+	unanswered atomic.Int64 // renewals to come that get none
 }
 
-func (s *silent) Renew(ctx context.Context, lease string) error {
-	if s.hang.Add(-1) >= 0 {
-		wait.For(ctx, clientLimit)
+func (s *silentStore) Renew(ctx context.Context, lease string) error {
+	if s.unanswered.Add(-1) >= 0 {
+		wait.For(ctx, clientTimeout)
 		return store.ErrUnknown
 	}
 	return s.Multi.Renew(ctx, lease)
@@ -44,7 +44,7 @@
 		defer cancel()
 		var wg sync.WaitGroup
 		held := make(chan *lead.Tenure, 10)
-		l := lead.New(lead.Options{Store: service.Client(nil), Name: "a", Addr: "a", Lease: 1200 * time.Millisecond, Log: logr.Discard()})
+		l := lead.New(lead.Options{Store: service.Client(nil), Name: "a", Addr: "a", LeaseTTL: 1200 * time.Millisecond, Log: logr.Discard()})
 		wg.Go(func() {
 			l.Run(ctx, func(t *lead.Tenure) {
 				held <- t
@@ -58,7 +58,7 @@
 		time.Sleep(2 * time.Second)
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
-			if age := time.Since(tenure.Sure()); age > delay+300*time.Millisecond {
+			if age := time.Since(tenure.ConfirmedAt()); age > delay+300*time.Millisecond {
 				t.Fatalf("last confirmed %v ago", age)
 			}
 		}
@@ -79,12 +79,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var wg sync.WaitGroup
-		var ways []*silent
+		var ways []*silentStore
 		var terms sync.Map
 		for i := range 2 {
-			way := &silent{Multi: service.Client(nil)}
+			way := &silentStore{Multi: service.Client(nil)}
 			ways = append(ways, way)
-			l := lead.New(lead.Options{Store: way, Name: fmt.Sprint(i), Addr: fmt.Sprint(i), Lease: 1200 * time.Millisecond, Log: logr.Discard()})
+			l := lead.New(lead.Options{Store: way, Name: fmt.Sprint(i), Addr: fmt.Sprint(i), LeaseTTL: 1200 * time.Millisecond, Log: logr.Discard()})
 			wg.Go(func() {
 				l.Run(ctx, func(t *lead.Tenure) {
 					terms.Store(t.Term(), true)
@@ -95,7 +95,7 @@
 		for range 20 {
 			time.Sleep(1700 * time.Millisecond)
 			for _, w := range ways {
-				w.hang.Store(1)
+				w.unanswered.Store(1)
 			}
 		}
 		cancel()
--- a/internal/proc/front/desk.go
+++ b/internal/proc/front/desk.go
@@ -19,7 +19,7 @@
 type Desk struct {
 	log   logr.Logger
 	scope tally.Scope
-	lead  *lead.Lead
+	lead  *lead.Elector
 	links link.Set
 	peers *peers
 	name  string
@@ -227,7 +227,7 @@
 func (p *Peer) Outlook(_ int, out *Outlook) error {
 	ctx, cancel := context.WithTimeout(context.Background(), askLimit)
 	defer cancel()
-	out.Failing = !p.d.lead.Asked(ctx)
+	out.Failing = !p.d.lead.ProbeStore(ctx)
 	h, _ := p.d.lead.Holder()
 	out.Term = h.Term
 	out.Carries = p.p.carries()
--- a/internal/proc/front/hand.go
+++ b/internal/proc/front/hand.go
@@ -75,12 +75,12 @@
 	for ; t.Context().Err() == nil; wait.For(t.Context(), handLook) {
 		d := h.desk.own()
 		carries := h.carries()
-		if d == nil || time.Since(asked) < handEvery || time.Since(t.Sure()) > aidAfter || d.Workers() <= carries || d.Waiting() {
+		if d == nil || time.Since(asked) < handEvery || time.Since(t.ConfirmedAt()) > aidAfter || d.Workers() <= carries || d.Waiting() {
 			continue
 		}
 		asked = time.Now()
 		workers := d.Workers()
-		offers := h.peer.ask(t.Context(), h.peer.known(t.Sure()), handLimit)
+		offers := h.peer.ask(t.Context(), h.peer.known(t.ConfirmedAt()), handLimit)
 		// One look alone may be mistaken, or the machine may be fast again.
 		carries = max(carries, h.carries())
 		to, ok := successor(carries, limits, workers, t.Term(), offers)
@@ -90,7 +90,7 @@
 		h.log.Info("hands over", "term", t.Term(), "carries", carries, "limits", limits, "workers", workers, "to", to.addr, "offers", to.Carries)
 		now := time.Now()
 		h.handed.Store(&now)
-		h.lead.Rest(handRest)
+		h.lead.SuspendClaims(handRest)
 		ctx, cancel := context.WithTimeout(context.Background(), closeLimit)
 		h.resign(ctx, t)
 		cancel()
--- a/internal/proc/front/host.go
+++ b/internal/proc/front/host.go
@@ -38,7 +38,7 @@
 	set  conf.Host
 	out  Outside
 	log  logr.Logger
-	lead *lead.Lead
+	lead *lead.Elector
 	desk *Desk
 	peer *peers
 	pace pace
@@ -90,8 +90,8 @@
 	h.desk = &Desk{log: log, name: set.Name, scope: scope}
 	h.lead = lead.New(lead.Options{
 		Store: out.Store, Name: set.Name, Addr: lis[0].Addr().String(),
-		Lease: max(drive.HolderLease, conf.Milliseconds(set.Store.Least)), Log: log, Alive: h.alive,
-		Carries: h.carries,
+		LeaseTTL: max(drive.HolderLease, conf.Milliseconds(set.Store.Least)), Log: log, HolderAlive: h.alive,
+		Capacity: h.carries,
 	})
 	h.desk.lead = h.lead
 	h.peer = &peers{lead: h.lead, links: &h.desk.links, carries: h.offers}
@@ -198,7 +198,7 @@
 	defer cancel()
 	h.log.Info("stop")
 	h.stopping.Store(true)
-	h.lead.Rest(conf.Seconds(h.set.Bound.Grace))
+	h.lead.SuspendClaims(conf.Seconds(h.set.Bound.Grace))
 	if t := h.tenure.Load(); t != nil {
 		h.resign(ctx, t)
 	}
--- a/internal/proc/front/peers.go
+++ b/internal/proc/front/peers.go
@@ -43,7 +43,7 @@
 // The failure it guards against: in an outage of the store of some seconds, a holder that
 // stops for fear of being replaced loses the leases of every task on every worker.
 type peers struct {
-	lead  *lead.Lead
+	lead  *lead.Elector
 	links *link.Set
 	// carries tells how many workers this process would hold; 0: not known, or none.
 	carries func() int
@@ -135,7 +135,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askLimit)
 	defer cancel()
-	return !p.lead.Asked(ctx)
+	return !p.lead.ProbeStore(ctx)
 }
 
 func (p *peers) setAway(away bool) {
@@ -175,10 +175,10 @@
 func (p *peers) aid(t *lead.Tenure) {
 	for wait.For(t.Context(), aidEvery) {
 		now := time.Now()
-		if now.Sub(t.Sure()) < aidAfter {
+		if now.Sub(t.ConfirmedAt()) < aidAfter {
 			continue
 		}
-		addrs := p.known(t.Sure())
+		addrs := p.known(t.ConfirmedAt())
 		if backed(t.Term(), p.ask(t.Context(), addrs, aidLimit), len(addrs)) {
 			p.mu.Lock()
 			p.sure = now
