--- a/internal/batch/drive/fleet_test.go
+++ b/internal/batch/drive/cluster_test.go
@@ -22,41 +22,41 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// fleet is some hosts with a store and workers, for use in a bubble of virtual time.
-type fleet struct {
-	t     *testing.T
-	store *multi.Service
-	crew  *fakecrew.Crew
-	hosts []*host
+// testCluster is some hosts with a store and workers, for use in a bubble of virtual time.
+type testCluster struct {
+	t       *testing.T
+	store   *multi.Service
+	workers *fakecrew.Crew
+	hosts   []*host
 
-	wrap func(drive.WorkerClient) drive.WorkerClient // around the crew as each host reaches it; nil: nothing
+	wrapWorkers func(drive.WorkerClient) drive.WorkerClient // around the crew as each host reaches it; nil: nothing
 
 	wrapStore func(store.Multi) store.Multi // around the store as each host reaches it; nil: nothing
 
-	mu  sync.Mutex
-	cut string // failure domain that is cut off from everything else
+	mu      sync.Mutex
+	cutZone string // failure domain that is cut off from everything else
 }
 
-// setCut cuts a failure domain off from the other ones and the store, or, empty, nothing.
-func (f *fleet) setCut(zone string) {
+// setCutZone cuts a failure domain off from the other ones and the store, or, empty, nothing.
+func (f *testCluster) setCutZone(zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut = zone
+	f.cutZone = zone
 }
 
-func (f *fleet) apart(a, b string) bool {
+func (f *testCluster) partitioned(a, b string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cut != "" && (a == f.cut) != (b == f.cut)
+	return f.cutZone != "" && (a == f.cutZone) != (b == f.cutZone)
 }
 
 // host is one process that may hold.
 type host struct {
-	f       *fleet
-	name    string
-	zone    string
-	cpu     *processor
-	carries atomic.Int64 // see lead.Options
+	f        *testCluster
+	name     string
+	zone     string
+	cpu      *processor
+	capacity atomic.Int64 // see lead.Options
 
 	mu     sync.Mutex
 	mode   multi.Mode
@@ -66,41 +66,41 @@
 	wg     sync.WaitGroup
 }
 
-func newFleet(t *testing.T, hosts, workers int, rng *rand.Rand, work func(string) (time.Duration, sched.End)) *fleet {
-	f := &fleet{t: t, store: &multi.Service{}}
-	f.crew = fakecrew.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rng, work)
+func newTestCluster(t *testing.T, hosts, workers int, rng *rand.Rand, work func(string) (time.Duration, sched.End)) *testCluster {
+	f := &testCluster{t: t, store: &multi.Service{}}
+	f.workers = fakecrew.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rng, work)
 	f.configure(sched.Config{Version: 1, Queues: []sched.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Tries: 3, Stretch: 2, Aim: time.Second}}})
-	f.list()
-	f.add(hosts, 0, 0)
+	f.listWorkers()
+	f.addHosts(hosts, 0, 0)
 	return f
 }
 
-// add starts n further hosts whose processors need so long for a turn and which carry so many workers.
-func (f *fleet) add(n int, turn time.Duration, carries int) {
+// addHosts starts n further hosts whose processors need so long for a turn and which carry so many workers.
+func (f *testCluster) addHosts(n int, turn time.Duration, carries int) {
 	for range n {
 		i := len(f.hosts)
 		h := &host{f: f, name: fmt.Sprintf("host%d", i), zone: fmt.Sprintf("z%d", i%3), cpu: &processor{}}
-		h.pace(turn, carries)
+		h.setSpeed(turn, carries)
 		f.hosts = append(f.hosts, h)
 		h.start()
 	}
 }
 
-// pace sets how long the host's processor needs for a turn from now on, and how many workers it carries so.
-func (h *host) pace(turn time.Duration, carries int) {
+// setSpeed sets how long the host's processor needs for a turn from now on, and how many workers it carries so.
+func (h *host) setSpeed(turn time.Duration, carries int) {
 	h.cpu.setTurn(turn)
-	h.carries.Store(int64(carries))
+	h.capacity.Store(int64(carries))
 }
 
-func (f *fleet) configure(c sched.Config) {
+func (f *testCluster) configure(c sched.Config) {
 	if err := plain.Configure(f.store, c); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// list writes the workers into the directory.
-func (f *fleet) list() {
-	if err := plain.List(f.store, f.crew.Members()); err != nil {
+// listWorkers writes the workers into the directory.
+func (f *testCluster) listWorkers() {
+	if err := plain.List(f.store, f.workers.Members()); err != nil {
 		f.t.Fatal(err)
 	}
 }
@@ -112,7 +112,7 @@
 	var client store.Multi = &slowStore{cpu: h.cpu, Multi: h.f.store.Client(func() multi.Mode {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.f.apart(h.zone, "store") {
+		if h.f.partitioned(h.zone, "store") {
 			return multi.ModeSilent
 		}
 		return h.mode
@@ -120,39 +120,39 @@
 	if h.f.wrapStore != nil {
 		client = h.f.wrapStore(client)
 	}
-	var crew drive.WorkerClient = &slowCrew{cpu: h.cpu, WorkerClient: h.f.crew.From(func(w sched.Member) bool { return h.f.apart(h.zone, w.Zone) })}
-	if h.f.wrap != nil {
-		crew = h.f.wrap(crew)
+	var crew drive.WorkerClient = &slowWorkers{cpu: h.cpu, WorkerClient: h.f.workers.From(func(w sched.Member) bool { return h.f.partitioned(h.zone, w.Zone) })}
+	if h.f.wrapWorkers != nil {
+		crew = h.f.wrapWorkers(crew)
 	}
-	l := lead.New(lead.Options{Store: client, Name: h.name, Addr: h.name, LeaseTTL: drive.HolderLease, Log: logr.Discard(), HolderAlive: h.f.alive, Capacity: func() int { return int(h.carries.Load()) }})
+	l := lead.New(lead.Options{Store: client, Name: h.name, Addr: h.name, LeaseTTL: drive.HolderLease, Log: logr.Discard(), HolderAlive: h.f.isHolding, Capacity: func() int { return int(h.capacity.Load()) }})
 	h.wg.Go(func() {
 		l.Run(ctx, func(t *lead.Tenure) {
 			_ = drive.Run(drive.Options{ // its error tells of the tenure's end
 				Store: client, Workers: crew, Codec: plain.Codec(), Tenure: t, Log: logr.Discard(),
-				Lease: drive.WorkerLease(fakecrew.MaxHold), Hold: fakecrew.MaxHold, Sure: drive.Unsure, Stop: fakecrew.MaxStop, Keep: time.Hour,
-			}, func(d *drive.Holder) { h.set(d, t.Term()) })
-			h.set(nil, 0)
+				WorkerLease: drive.WorkerLease(fakecrew.MaxHold), MaxWorkerLease: fakecrew.MaxHold, MaxUnconfirmed: drive.MaxUnconfirmed, MaxStopTime: fakecrew.MaxStop, JobRetention: time.Hour,
+			}, func(d *drive.Holder) { h.setHolder(d, t.Term()) })
+			h.setHolder(nil, 0)
 		})
 	})
 }
 
-func (f *fleet) alive(_ context.Context, holder lead.Holder) bool {
+func (f *testCluster) isHolding(_ context.Context, holder lead.Holder) bool {
 	for _, h := range f.hosts {
 		if h.name == holder.Name {
-			d, _ := h.own()
+			d, _ := h.currentHolder()
 			return d != nil
 		}
 	}
 	return false
 }
 
-func (h *host) set(d *drive.Holder, term int64) {
+func (h *host) setHolder(d *drive.Holder, term int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.holder, h.term = d, term
 }
 
-func (h *host) own() (*drive.Holder, int64) {
+func (h *host) currentHolder() (*drive.Holder, int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holder, h.term
@@ -171,57 +171,57 @@
 	h.wg.Wait()
 }
 
-func (f *fleet) stop() {
+func (f *testCluster) stop() {
 	for _, h := range f.hosts {
 		h.kill()
 	}
 }
 
 // holder returns the process that holds with the newest term, or nil.
-func (f *fleet) holder() *host {
+func (f *testCluster) holder() *host {
 	var best *host
 	var newest int64
 	for _, h := range f.hosts {
-		if d, term := h.own(); d != nil && term > newest {
+		if d, term := h.currentHolder(); d != nil && term > newest {
 			best, newest = h, term
 		}
 	}
 	return best
 }
 
-// ask asks the holder, waiting for one up to limit.
-func (f *fleet) ask(limit time.Duration, a drive.Ask) drive.Reply {
+// request asks the holder, waiting for one up to limit.
+func (f *testCluster) request(limit time.Duration, a drive.Request) drive.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	for ctx.Err() == nil {
 		if h := f.holder(); h != nil {
-			if d, _ := h.own(); d != nil {
+			if d, _ := h.currentHolder(); d != nil {
 				return d.Handle(ctx, a)
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return drive.Refuse("no holder", time.Second)
+	return drive.RefusedReply("no holder", time.Second)
 }
 
-func (f *fleet) submit(id string, steps ...sched.Step) drive.Reply {
+func (f *testCluster) submit(id string, steps ...sched.Step) drive.Reply {
 	data, err := json.Marshal(sched.Job{Spec: "x", Steps: steps})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return f.ask(2*time.Second, drive.Ask{Verb: drive.VerbSubmit, Host: "h", Path: "/q/" + id, Job: data})
+	return f.request(2*time.Second, drive.Request{Verb: drive.VerbSubmit, Host: "h", Path: "/q/" + id, Job: data})
 }
 
-func (f *fleet) state(id string) drive.Reply {
-	return f.ask(2*time.Second, drive.Ask{Verb: drive.VerbState, Host: "h", Path: "/q/" + id})
+func (f *testCluster) state(id string) drive.Reply {
+	return f.request(2*time.Second, drive.Request{Verb: drive.VerbState, Host: "h", Path: "/q/" + id})
 }
 
-func step(n int, after ...int) sched.Step {
+func newStep(n int, after ...int) sched.Step {
 	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, After: after}
 }
 
-// eventually waits up to limit for a job's state.
-func (f *fleet) eventually(limit time.Duration, id string, want sched.State) {
+// awaitState waits up to limit for a job's state.
+func (f *testCluster) awaitState(limit time.Duration, id string, want sched.State) {
 	f.t.Helper()
 	end := time.Now().Add(limit)
 	var got drive.Reply
--- a/internal/batch/drive/commit.go
+++ b/internal/batch/drive/commit.go
@@ -12,29 +12,29 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// round is one write with all that has gathered.
-type round struct {
-	writes  []store.Write
-	subs    []*submission
-	batch   *sched.Batch
-	crew    []sched.Member
-	load    int // the number of workers, as recorded with this write
-	waiters []chan struct{}
+// pendingCommit is one write with all that has gathered.
+type pendingCommit struct {
+	writes         []store.Write
+	submissions    []*submission
+	batch          *sched.Batch
+	trackedWorkers []sched.Member
+	workerCount    int // the number of workers, as recorded with this write
+	recordWaiters  []chan struct{}
 }
 
-// commits stores what has changed until the tenure is over.
-func (h *Holder) commits() {
+// commitLoop stores what has changed until the tenure is over.
+func (h *Holder) commitLoop() {
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
-		case <-h.commit:
+		case <-h.commitWake:
 			// Nobody waits for progress alone: a little later it is one call with more.
-			h.pause()
-		case <-h.rush:
+			h.delayCommit()
+		case <-h.urgentCommit:
 		}
 		for {
-			r, err := h.gather()
+			r, err := h.collectCommit()
 			if err != nil {
 				// What had been taken to be stored is known here only; the next holder starts from what is stored.
 				h.log.Error(err, "record can't be written")
@@ -44,26 +44,26 @@
 			if r == nil {
 				break
 			}
-			if len(r.writes) > 0 && !h.write(r) {
+			if len(r.writes) > 0 && !h.writeCommit(r) {
 				return
 			}
-			h.settle(r)
+			h.finishCommit(r)
 		}
 	}
 }
 
-// pause waits for more to store, until a caller waits.
-func (h *Holder) pause() {
-	t := time.NewTimer(gatherPause)
+// delayCommit waits for more to store, until a caller waits.
+func (h *Holder) delayCommit() {
+	t := time.NewTimer(commitDelay)
 	defer t.Stop()
 	select {
 	case <-h.ctx.Done():
-	case <-h.rush:
+	case <-h.urgentCommit:
 	case <-t.C:
 	}
 }
 
-func (h *Holder) write(r *round) bool {
+func (h *Holder) writeCommit(r *pendingCommit) bool {
 	err := h.opt.Tenure.Commit(r.writes)
 	if err == nil {
 		return true
@@ -73,64 +73,64 @@
 	return false
 }
 
-// gather takes what has to be stored, or returns nil when there is nothing.
-func (h *Holder) gather() (*round, error) {
+// collectCommit takes what has to be stored, or returns nil when there is nothing.
+func (h *Holder) collectCommit() (*pendingCommit, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := &round{}
+	r := &pendingCommit{}
 	room := lead.MaxWrites
 	crew := h.core.Tracked()
-	if !same(crew, h.crew) {
+	if !sameMembers(crew, h.trackedWorkers) {
 		data, err := json.Marshal(crew)
 		if err != nil {
 			return nil, errors.Wrap(err, "drive")
 		}
-		r.crew = crew
-		r.writes = append(r.writes, store.Write{Key: keyTracked, Value: data})
+		r.trackedWorkers = crew
+		r.writes = append(r.writes, store.Write{Key: keyTrackedWorkers, Value: data})
 		room--
 	}
-	if r.load = len(crew); r.load != h.counted {
-		r.writes = append(r.writes, lead.LoadWrite(r.load))
+	if r.workerCount = len(crew); r.workerCount != h.trackedCount {
+		r.writes = append(r.writes, lead.LoadWrite(r.workerCount))
 		room--
 	}
 	// Half of the room is kept for progress: a flood of hand-ins mustn't keep ends from being stored.
-	n := min(len(h.subs), room/2)
-	r.subs, h.subs = h.subs[:n:n], h.subs[n:]
-	for _, s := range r.subs {
-		s.sent = true
-		r.writes = append(r.writes, store.Write{Key: keyJob + s.job.ID, Value: s.data})
+	n := min(len(h.submissions), room/2)
+	r.submissions, h.submissions = h.submissions[:n:n], h.submissions[n:]
+	for _, s := range r.submissions {
+		s.writing = true
+		r.writes = append(r.writes, store.Write{Key: jobPrefix + s.job.ID, Value: s.data})
 	}
 	var err error
 	if r.batch, err = h.core.Collect((room - n) / 2); err != nil {
 		return nil, err
 	}
 	for _, rec := range r.batch.Records {
-		r.writes = append(r.writes, store.Write{Key: keyRun + rec.ID, Value: rec.Data})
+		r.writes = append(r.writes, store.Write{Key: progressPrefix + rec.ID, Value: rec.Data})
 		if rec.Final {
-			r.writes = append(r.writes, store.Write{Key: keyJob + rec.ID, Delete: true})
+			r.writes = append(r.writes, store.Write{Key: jobPrefix + rec.ID, Delete: true})
 		}
-		r.waiters = append(r.waiters, h.waiting[rec.ID]...)
-		delete(h.waiting, rec.ID)
+		r.recordWaiters = append(r.recordWaiters, h.recordWaiters[rec.ID]...)
+		delete(h.recordWaiters, rec.ID)
 	}
 	if len(r.writes) == 0 && r.batch.Empty() {
 		return nil, nil
 	}
 	// What has been learned goes along with a write that is due anyway.
-	if now := time.Now(); len(r.writes) > 0 && len(r.writes) < lead.MaxWrites && now.Sub(h.learned) > learnedEvery {
+	if now := time.Now(); len(r.writes) > 0 && len(r.writes) < lead.MaxWrites && now.Sub(h.learnedModelStoredAt) > learnedModelInterval {
 		data, err := h.core.Learned()
 		if err != nil {
 			return nil, err
 		}
-		h.learned = now
-		r.writes = append(r.writes, store.Write{Key: keyLearned, Value: data})
+		h.learnedModelStoredAt = now
+		r.writes = append(r.writes, store.Write{Key: keyLearnedModel, Value: data})
 	}
 	if len(r.writes) > 0 {
-		h.busy = time.Now()
+		h.writeStarted = time.Now()
 	}
 	return r, nil
 }
 
-func same(a, b []sched.Member) bool {
+func sameMembers(a, b []sched.Member) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -142,42 +142,42 @@
 	return true
 }
 
-// settle has what follows from a write happen.
-func (h *Holder) settle(r *round) {
+// finishCommit has what follows from a write happen.
+func (h *Holder) finishCommit(r *pendingCommit) {
 	now := time.Now()
 	h.mu.Lock()
-	h.busy = time.Time{}
-	for _, s := range r.subs {
+	h.writeStarted = time.Time{}
+	for _, s := range r.submissions {
 		h.core.Admit(now, s.job)
-		delete(h.byID, s.job.ID)
+		delete(h.submissionsByID, s.job.ID)
 		close(s.done)
 	}
 	h.core.Committed(r.batch)
-	if r.crew != nil {
-		h.crew = r.crew
-		h.core.TrackedStored(r.crew)
+	if r.trackedWorkers != nil {
+		h.trackedWorkers = r.trackedWorkers
+		h.core.TrackedStored(r.trackedWorkers)
 	}
-	h.counted = r.load
-	close(h.stored)
-	h.stored = make(chan struct{})
+	h.trackedCount = r.workerCount
+	close(h.commitDone)
+	h.commitDone = make(chan struct{})
 	h.mu.Unlock()
-	for _, w := range r.waiters {
+	for _, w := range r.recordWaiters {
 		close(w)
 	}
-	h.event()
+	h.requestPlan()
 }
 
-// forgets drops jobs that ended long ago, here and in the store.
-func (h *Holder) forgets() {
-	for wait.For(h.ctx, forgetEvery) {
+// forgetLoop drops jobs that ended long ago, here and in the store.
+func (h *Holder) forgetLoop() {
+	for wait.For(h.ctx, forgetInterval) {
 		h.mu.Lock()
-		gone := h.core.Forget(time.Now(), h.opt.Keep)
+		gone := h.core.Forget(time.Now(), h.opt.JobRetention)
 		h.mu.Unlock()
 		for len(gone) > 0 {
 			n := min(len(gone), lead.MaxWrites)
 			var do []store.Write
 			for _, id := range gone[:n] {
-				do = append(do, store.Write{Key: keyRun + id, Delete: true})
+				do = append(do, store.Write{Key: progressPrefix + id, Delete: true})
 			}
 			gone = gone[n:]
 			if err := h.opt.Tenure.Commit(do); err != nil {
--- a/internal/batch/drive/contact_test.go
+++ b/internal/batch/drive/connect_test.go
@@ -11,31 +11,31 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// dialTurns is how many more turns of a processor a call takes that needs a new connection.
-const dialTurns = 6
+// connectTurns is how many more turns of a processor a call takes that needs a new connection.
+const connectTurns = 6
 
-// dialedCrew is a crew to which polls need connections, kept while polls are answered.
-type dialedCrew struct {
-	*slowCrew
+// connectingWorkers is a crew to which polls need connections, kept while polls are answered.
+type connectingWorkers struct {
+	*slowWorkers
 
-	mu   sync.Mutex
-	open map[string]bool
+	mu        sync.Mutex
+	connected map[string]bool
 }
 
-func (c *dialedCrew) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
+func (c *connectingWorkers) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
 	c.mu.Lock()
-	open := c.open[l.ID]
+	open := c.connected[l.ID]
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, l.Wait+l.Slack)
 	defer cancel()
-	for range dialTurns {
+	for range connectTurns {
 		if !open && !c.cpu.take(ctx) {
 			return sched.Report{}, sched.OutcomeUnknown
 		}
 	}
-	rep, out := c.slowCrew.Poll(ctx, l, fence)
+	rep, out := c.slowWorkers.Poll(ctx, l, fence)
 	c.mu.Lock()
-	c.open[l.ID] = out == sched.OutcomeDone
+	c.connected[l.ID] = out == sched.OutcomeDone
 	c.mu.Unlock()
 	return rep, out
 }
@@ -45,13 +45,13 @@
 func TestTakeoverOfManyWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 300
-		f := newFleet(t, 0, workers, source(1), seconds(forever))
-		f.wrap = func(crew drive.WorkerClient) drive.WorkerClient {
-			return &dialedCrew{slowCrew: crew.(*slowCrew), open: map[string]bool{}}
+		f := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
+		f.wrapWorkers = func(crew drive.WorkerClient) drive.WorkerClient {
+			return &connectingWorkers{slowWorkers: crew.(*slowWorkers), connected: map[string]bool{}}
 		}
-		f.add(2, strongTurn, strongCarries)
+		f.addHosts(2, strongTurn, strongCapacity)
 		time.Sleep(8 * time.Second)
-		if r := f.submit("a", lasting(workers)); r.Result != drive.ResultDone {
+		if r := f.submit("a", lastingStep(workers)); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
 		time.Sleep(8 * time.Second)
@@ -60,11 +60,11 @@
 			t.Fatal("nobody holds")
 		}
 		old.kill()
-		if d := f.short(20*time.Second, workers); d > calm {
+		if d := f.longestShortfall(20*time.Second, workers); d > maxOutage {
 			t.Errorf("lasting tasks were without a run for %s", d)
 		}
 		f.stop()
-		for _, fault := range f.crew.Faults() {
+		for _, fault := range f.workers.Faults() {
 			t.Error(fault)
 		}
 	})
--- a/internal/batch/drive/roster_test.go
+++ b/internal/batch/drive/directory_test.go
@@ -7,9 +7,9 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-func TestRoster(t *testing.T) {
+func TestDirectoryDecoder(t *testing.T) {
 	decodes := 0
-	r := roster{decode: func(e store.Entry) (sched.Member, bool) {
+	r := directoryDecoder{decode: func(e store.Entry) (sched.Member, bool) {
 		decodes++
 		return sched.Member{Life: sched.Life{ID: e.Key}, Addr: string(e.Value)}, len(e.Value) > 0
 	}}
@@ -31,7 +31,7 @@
 	} {
 		decodes = 0
 		var got []string
-		for _, m := range r.members(tt.entries) {
+		for _, m := range r.decodeAll(tt.entries) {
 			got = append(got, m.Addr)
 		}
 		if len(got) != len(tt.want) || decodes != tt.decodes {
--- a/internal/batch/drive/times.go
+++ b/internal/batch/drive/lease.go
@@ -7,15 +7,15 @@
 	// HolderLease is how long the others wait for a holder that is gone. Shorter leases lose
 	// the holder when the store is slow; the store allows no less than a second.
 	HolderLease = 1200 * time.Millisecond
-	// Unsure is how long a holder that neither the store nor its peers confirm goes on starting tasks.
-	Unsure = 3 * time.Second
-	// workerLease is granted to workers at each poll. What is left of it outlasts the loss of all
+	// MaxUnconfirmed is how long a holder that neither the store nor its peers confirm goes on starting tasks.
+	MaxUnconfirmed = 3 * time.Second
+	// defaultWorkerLease is granted to workers at each poll. What is left of it outlasts the loss of all
 	// processes and a change of holder, some 3 s. A holder and a worker that are lost together cost
 	// HolderLease, the claim and this: operators allow 7 s until what ran there runs again.
-	workerLease = 4800 * time.Millisecond
+	defaultWorkerLease = 4800 * time.Millisecond
 )
 
 // WorkerLease returns the lease that workers get which grant at most hold.
 func WorkerLease(hold time.Duration) time.Duration {
-	return min(workerLease, hold*9/10)
+	return min(defaultWorkerLease, hold*9/10)
 }
--- a/internal/batch/drive/work.go
+++ b/internal/batch/drive/plan.go
@@ -7,55 +7,55 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// plans orders what follows from the events until the tenure is over.
-func (h *Holder) plans() {
-	tick := time.NewTicker(planEvery)
+// planLoop orders what follows from the events until the tenure is over.
+func (h *Holder) planLoop() {
+	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
-	shown := newStanding(h.opt.Scope)
-	defer shown.clear()
+	shown := newStatusReporter(h.opt.Scope)
+	defer shown.clearGauges()
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
-		case <-h.plan:
+		case <-h.planWake:
 		case due := <-tick.C:
-			shown.lag(time.Since(due))
+			shown.recordTickDelay(time.Since(due))
 		}
 		h.mu.Lock()
 		now := time.Now()
-		h.confirm()
-		behind := h.lag.planned(now)
+		h.updateConfirmation()
+		behind := h.planLag.markPlanned(now)
 		orders := h.core.Plan(now)
 		took := time.Since(now)
 		outdated := h.core.Outdated()
 		waits := h.core.Waits()
 		placed, endings := h.core.Notes()
 		var stand sched.Standing
-		show := shown.due(now, behind)
+		show := shown.reportDue(now, behind)
 		if show {
 			stand = h.core.Standing(now)
 		}
 		h.mu.Unlock()
-		shown.bar(h, outdated)
+		shown.logBlockedStarts(h, outdated)
 		if show {
-			shown.show(h, now, stand)
+			shown.report(h, now, stand)
 		}
 		for _, w := range waits {
 			h.log.Info("waits", "job", w.Job, "step", w.Step, "image", w.Image, "tasks", w.Tasks, "since", w.Since, "workers", w.Workers,
 				"closed", w.Closed, "shut", w.Shut, "full", w.Full, "memory", w.Memory, "harm", w.Harm, "least", w.Least)
 		}
-		h.tell(placed, endings)
+		h.logEvents(placed, endings)
 		for _, o := range orders {
-			h.wg.Go(func() { h.order(o) })
+			h.wg.Go(func() { h.executeOrder(o) })
 		}
-		if !wait.For(h.ctx, max(planPause, planRest*took)) {
+		if !wait.For(h.ctx, max(minPlanPause, planPauseFactor*took)) {
 			return
 		}
 	}
 }
 
-// tell logs what became of steps and jobs.
-func (h *Holder) tell(placed []sched.Placed, endings []sched.Ending) {
+// logEvents logs what became of steps and jobs.
+func (h *Holder) logEvents(placed []sched.Placed, endings []sched.Ending) {
 	for _, p := range placed {
 		h.log.Info("placed", "job", p.Job, "queue", p.Queue, "round", p.Round, "step", p.Step, "tasks", p.Tasks,
 			"lasting", p.Lasting, "waited", p.Waited, "lacked", p.Lacked, "expect", p.Expect)
@@ -65,25 +65,25 @@
 	}
 }
 
-// confirm tells the core how fresh the tenure is; h.mu is held.
-func (h *Holder) confirm() {
+// updateConfirmation tells the core how fresh the tenure is; h.mu is held.
+func (h *Holder) updateConfirmation() {
 	h.core.Confirm(h.opt.Tenure.ConfirmedAt())
-	if h.opt.PeersSure != nil {
-		h.core.ConfirmByPeers(h.opt.PeersSure())
+	if h.opt.PeersConfirmedAt != nil {
+		h.core.ConfirmByPeers(h.opt.PeersConfirmedAt())
 	}
 }
 
-// order gives an order and has the core know what came of it, also when the tenure is over.
-func (h *Holder) order(o sched.Order) {
+// executeOrder gives an executeOrder and has the core know what came of it, also when the tenure is over.
+func (h *Holder) executeOrder(o sched.Order) {
 	began := time.Now()
-	out, cause := h.give(o)
+	out, cause := h.sendOrder(o)
 	if o.Verb == sched.VerbStart || out != sched.OutcomeDone || o.Pace == 0 {
 		h.log.Info("order", "verb", o.Verb, "task", o.Task, "run", o.Run, "worker", o.Life.ID, "pace", o.Pace, "starved", o.Starved, "outcome", out, "cause", cause,
 			"took", time.Since(began))
 	}
-	h.orders(string(o.Verb), string(out))
+	h.countOrder(string(o.Verb), string(out))
 	if out == sched.OutcomeFence {
-		h.fenced(o.Life.ID)
+		h.endFencedTenure(o.Life.ID)
 		return
 	}
 	h.mu.Lock()
@@ -91,38 +91,38 @@
 	limited := h.core.Limited()
 	h.mu.Unlock()
 	if out != sched.OutcomeDone || limited {
-		h.event()
+		h.requestPlan()
 	}
 }
 
-// give sends an order to its worker, unless it has to stay; the cause says why.
-func (h *Holder) give(o sched.Order) (sched.Outcome, sched.Cause) {
+// sendOrder sends an order to its worker, unless it has to stay; the cause says why.
+func (h *Holder) sendOrder(o sched.Order) (sched.Outcome, sched.Cause) {
 	if h.ctx.Err() != nil {
 		return sched.OutcomeUnsent, sched.CauseTenure
 	}
 	h.mu.Lock()
-	h.confirm()
+	h.updateConfirmation()
 	cause := h.core.Depart(time.Now(), o)
 	h.mu.Unlock()
 	if cause != sched.CauseNone {
 		return sched.OutcomeUnsent, cause
 	}
-	return h.opt.Workers.Order(h.ctx, o, h.opt.Tenure.Term()), sched.CauseNone
+	return h.opt.Workers.SendOrder(h.ctx, o, h.opt.Tenure.Term()), sched.CauseNone
 }
 
-// fenced ends the tenure: a worker knows a newer holder.
-func (h *Holder) fenced(worker string) {
+// endFencedTenure ends the tenure: a worker knows a newer holder.
+func (h *Holder) endFencedTenure(worker string) {
 	h.log.Info("fenced by a newer holder", "worker", worker)
 	h.opt.Tenure.End()
 }
 
-// poll has a goroutine for each worker.
-func (h *Holder) poll() {
+// startPolling has a goroutine for each worker.
+func (h *Holder) startPolling() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, m := range h.core.Workers() {
-		if !h.polled[m.ID] {
-			h.polled[m.ID] = true
+		if !h.polling[m.ID] {
+			h.polling[m.ID] = true
 			h.wg.Go(func() { h.pollWorker(m.ID) })
 		}
 	}
@@ -134,16 +134,16 @@
 		leave := func() {}
 		if !heard {
 			var err error
-			if leave, err = h.contacts.enter(h.ctx); err != nil {
+			if leave, err = h.pollLimiter.acquire(h.ctx); err != nil {
 				return
 			}
 		}
 		h.mu.Lock()
-		h.confirm()
+		h.updateConfirmation()
 		sent := time.Now()
 		l, ok := h.core.Poll(sent, id)
 		if !ok {
-			delete(h.polled, id)
+			delete(h.polling, id)
 		}
 		h.mu.Unlock()
 		if !ok {
@@ -160,14 +160,14 @@
 			good = !good
 			h.log.Info("contact", "worker", id, "outcome", out, "took", time.Since(sent))
 		}
-		h.hear(sent, l, rep, out)
-		if rest := h.lag.rest(); rest > 0 {
+		h.handlePollResult(sent, l, rep, out)
+		if rest := h.planLag.pollPause(); rest > 0 {
 			wait.For(h.ctx, rest)
 		}
 	}
 }
 
-func (h *Holder) hear(sent time.Time, l sched.Poll, rep sched.Report, out sched.Outcome) {
+func (h *Holder) handlePollResult(sent time.Time, l sched.Poll, rep sched.Report, out sched.Outcome) {
 	now := time.Now()
 	var news []sched.Finished
 	h.mu.Lock()
@@ -181,32 +181,32 @@
 	}
 	h.mu.Unlock()
 	if out == sched.OutcomeFence {
-		h.fenced(l.ID)
+		h.endFencedTenure(l.ID)
 		return
 	}
 	h.logEnds(l.ID, news)
-	h.event()
+	h.requestPlan()
 	if out != sched.OutcomeDone {
-		wait.For(h.ctx, missPause)
+		wait.For(h.ctx, pollRetryDelay)
 		return
 	}
-	h.awaitStored(l.ID)
+	h.awaitStoredEnds(l.ID)
 }
 
-// awaitStored waits until a worker's ends are stored, for a while: the next poll tells the
+// awaitStoredEnds waits until a worker's ends are stored, for a while: the next poll tells the
 // worker to forget them and would be answered at once with the same ends before.
-func (h *Holder) awaitStored(id string) {
-	t := time.NewTimer(ackWait)
+func (h *Holder) awaitStoredEnds(id string) {
+	t := time.NewTimer(maxStoreWait)
 	defer t.Stop()
 	for {
 		h.mu.Lock()
 		unstored := h.core.Unacked(id)
-		stored := h.stored
+		stored := h.commitDone
 		h.mu.Unlock()
 		if !unstored {
 			return
 		}
-		wait.Kick(h.commit)
+		wait.Kick(h.commitWake)
 		select {
 		case <-h.ctx.Done():
 			return
@@ -220,7 +220,7 @@
 // logEnds tells of ends that are news. Until an end is acknowledged each poll repeats it.
 func (h *Holder) logEnds(worker string, news []sched.Finished) {
 	for _, f := range news {
-		h.ends("end", string(f.How))
+		h.countEnd("end", string(f.How))
 		h.log.Info("end", "task", f.Task, "run", f.Run, "how", f.How, "worker", worker, "seq", f.Seq)
 	}
 }
--- a/internal/batch/drive/slow_test.go
+++ b/internal/batch/drive/processor_test.go
@@ -14,19 +14,19 @@
 const (
 	// callLimit is how long a call may wait for a turn before its caller gives it up.
 	callLimit = 600 * time.Millisecond
-	// queueMost bounds the turns that wait, in the time that they take.
-	queueMost = 2 * time.Second
-	// savedMost is what a processor that was idle does at once, as one with a quota does: a weak
+	// maxQueued bounds the turns that wait, in the time that they take.
+	maxQueued = 2 * time.Second
+	// maxBurst is what a processor that was idle does at once, as one with a quota does: a weak
 	// host is as fast as any until there is much to do.
-	savedMost = 100 * time.Millisecond
+	maxBurst = 100 * time.Millisecond
 )
 
 // processor is that of a host: each call takes a turn there on its way out and one on its
 // way back, first come, first served. A caller that gives up doesn't get its turn's time back.
 type processor struct {
-	mu   sync.Mutex
-	turn time.Duration // 0: takes no time
-	free time.Time     // when all turns so far are over
+	mu     sync.Mutex
+	turn   time.Duration // 0: takes no time
+	idleAt time.Time     // when all turns so far are over
 }
 
 // setTurn sets how long a turn takes from now on.
@@ -44,24 +44,24 @@
 		return ctx.Err() == nil
 	}
 	now := time.Now()
-	if from := now.Add(-savedMost); p.free.Before(from) {
-		p.free = from
+	if from := now.Add(-maxBurst); p.idleAt.Before(from) {
+		p.idleAt = from
 	}
-	queue := p.free.Add(p.turn).Sub(now)
-	if queue <= queueMost {
-		p.free = p.free.Add(p.turn)
+	queue := p.idleAt.Add(p.turn).Sub(now)
+	if queue <= maxQueued {
+		p.idleAt = p.idleAt.Add(p.turn)
 	}
 	p.mu.Unlock()
 	return wait.For(ctx, min(queue, callLimit)) && queue <= callLimit
 }
 
-// slowCrew is a crew as a host reaches it whose processor is busy.
-type slowCrew struct {
+// slowWorkers is a crew as a host reaches it whose processor is busy.
+type slowWorkers struct {
 	drive.WorkerClient
 	cpu *processor
 }
 
-func (c *slowCrew) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
+func (c *slowWorkers) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
 	if !c.cpu.take(ctx) {
 		return sched.Report{}, sched.OutcomeUnknown
 	}
@@ -72,11 +72,11 @@
 	return rep, out
 }
 
-func (c *slowCrew) Order(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
+func (c *slowWorkers) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
 	if !c.cpu.take(ctx) {
 		return sched.OutcomeUnknown
 	}
-	out := c.WorkerClient.Order(ctx, o, fence)
+	out := c.WorkerClient.SendOrder(ctx, o, fence)
 	if !c.cpu.take(ctx) {
 		return sched.OutcomeUnknown
 	}
@@ -89,8 +89,8 @@
 	cpu *processor
 }
 
-// through has a call take its turns.
-func through[T any](ctx context.Context, cpu *processor, call func() (T, error)) (T, error) {
+// withTurns has a call take its turns.
+func withTurns[T any](ctx context.Context, cpu *processor, call func() (T, error)) (T, error) {
 	var none T
 	if !cpu.take(ctx) {
 		return none, store.ErrUnknown
@@ -103,16 +103,16 @@
 }
 
 func (s *slowStore) Get(ctx context.Context, key string) (store.Entry, error) {
-	return through(ctx, s.cpu, func() (store.Entry, error) { return s.Multi.Get(ctx, key) })
+	return withTurns(ctx, s.cpu, func() (store.Entry, error) { return s.Multi.Get(ctx, key) })
 }
 
 func (s *slowStore) Range(ctx context.Context, prefix string) (store.Page, error) {
-	return through(ctx, s.cpu, func() (store.Page, error) { return s.Multi.Range(ctx, prefix) })
+	return withTurns(ctx, s.cpu, func() (store.Page, error) { return s.Multi.Range(ctx, prefix) })
 }
 
 func (s *slowStore) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
 	next := after
-	changes, err := through(ctx, s.cpu, func() (changes []store.Change, err error) {
+	changes, err := withTurns(ctx, s.cpu, func() (changes []store.Change, err error) {
 		changes, next, err = s.Multi.Watch(ctx, prefix, after, limit)
 		return changes, err
 	})
@@ -123,19 +123,19 @@
 }
 
 func (s *slowStore) Commit(ctx context.Context, t store.Txn) (uint64, error) {
-	return through(ctx, s.cpu, func() (uint64, error) { return s.Multi.Commit(ctx, t) })
+	return withTurns(ctx, s.cpu, func() (uint64, error) { return s.Multi.Commit(ctx, t) })
 }
 
 func (s *slowStore) Open(ctx context.Context, ttl time.Duration) (string, error) {
-	return through(ctx, s.cpu, func() (string, error) { return s.Multi.Open(ctx, ttl) })
+	return withTurns(ctx, s.cpu, func() (string, error) { return s.Multi.Open(ctx, ttl) })
 }
 
 func (s *slowStore) Renew(ctx context.Context, lease string) error {
-	_, err := through(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.Multi.Renew(ctx, lease) })
+	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.Multi.Renew(ctx, lease) })
 	return err
 }
 
 func (s *slowStore) Close(ctx context.Context, lease string) error {
-	_, err := through(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.Multi.Close(ctx, lease) })
+	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.Multi.Close(ctx, lease) })
 	return err
 }
--- a/internal/batch/drive/answer.go
+++ b/internal/batch/drive/request.go
@@ -23,8 +23,8 @@
 	VerbCancel Verb = "cancel"
 )
 
-// Ask is a caller's request on its way to the holder.
-type Ask struct {
+// Request is a caller's request on its way to the holder.
+type Request struct {
 	Verb Verb
 	Host string
 	Path string
@@ -56,42 +56,42 @@
 	Version int64 // of the configuration that decided it
 }
 
-// Refuse returns the reply of a request that was not carried out.
-func Refuse(why string, after time.Duration) Reply {
+// RefusedReply returns the reply of a request that was not carried out.
+func RefusedReply(why string, after time.Duration) Reply {
 	return Reply{Result: ResultRefused, Why: why, After: after}
 }
 
 // Times to come back after.
 const (
-	// AfterChange fits a change of holder.
-	AfterChange = time.Second
-	// afterOutage fits a store that doesn't answer: it is tried ten times a second, so a
+	// RetryAfterHolderChange fits a change of holder.
+	RetryAfterHolderChange = time.Second
+	// retryAfterStoreOutage fits a store that doesn't answer: it is tried ten times a second, so a
 	// second is soon enough.
-	afterOutage = time.Second
-	// afterAdvice is for a queue that isn't served until operators change it.
-	afterAdvice = time.Minute
+	retryAfterStoreOutage = time.Second
+	// retryAfterUnsupportedQueue is for a queue that isn't served until operators change it.
+	retryAfterUnsupportedQueue = time.Minute
 )
 
 // Handle answers a caller.
-func (h *Holder) Handle(ctx context.Context, a Ask) Reply {
+func (h *Holder) Handle(ctx context.Context, a Request) Reply {
 	h.mu.Lock()
 	conf := h.core.Config()
-	known := h.intent
+	known := h.hasConfig
 	q, ok := conf.Match(a.Host, a.Path)
 	version := conf.Version
 	h.mu.Unlock()
 	if !known {
-		return Refuse("no configuration yet", AfterChange)
+		return RefusedReply("no configuration yet", RetryAfterHolderChange)
 	}
 	if !ok {
 		return Reply{Result: ResultNoQueue, Version: version}
 	}
-	rep := h.handle(ctx, a, q, strings.TrimPrefix(a.Path, q.Prefix))
+	rep := h.handleInQueue(ctx, a, q, strings.TrimPrefix(a.Path, q.Prefix))
 	rep.Version = version
 	return rep
 }
 
-func (h *Holder) handle(ctx context.Context, a Ask, q sched.Queue, id string) Reply {
+func (h *Holder) handleInQueue(ctx context.Context, a Request, q sched.Queue, id string) Reply {
 	switch {
 	case a.Verb == VerbState && id == "":
 		h.mu.Lock()
@@ -100,17 +100,17 @@
 	case id == "" || strings.Contains(id, "/") || strings.Contains(id, "."):
 		return Reply{Result: ResultBad, Why: "no job id"}
 	case a.Verb == VerbSubmit:
-		return h.submit(ctx, a, q, id)
+		return h.submitJob(ctx, a, q, id)
 	case a.Verb == VerbCancel:
-		return h.cancel(ctx, id)
+		return h.cancelJob(ctx, id)
 	}
-	return h.state(ctx, id)
+	return h.replyState(ctx, id)
 }
 
-func (h *Holder) submit(ctx context.Context, a Ask, q sched.Queue, id string) Reply {
+func (h *Holder) submitJob(ctx context.Context, a Request, q sched.Queue, id string) Reply {
 	if q.Advised {
 		h.log.Info("refused", "job", id, "queue", q.Name, "cause", "queue needs advice")
-		return Refuse("a queue whose workers need advice isn't served", afterAdvice)
+		return RefusedReply("a queue whose workers need advice isn't served", retryAfterUnsupportedQueue)
 	}
 	job := &sched.Job{}
 	if err := json.Unmarshal(a.Job, job); err != nil {
@@ -131,29 +131,29 @@
 		h.mu.Unlock()
 		return Reply{Result: ResultDone, Why: "known"}
 	}
-	s := h.byID[id]
+	s := h.submissionsByID[id]
 	if s == nil {
-		if !h.busy.IsZero() && time.Since(h.busy) > stuckAfter {
+		if !h.writeStarted.IsZero() && time.Since(h.writeStarted) > stalledWriteAfter {
 			h.mu.Unlock()
-			return Refuse("store away", afterOutage)
+			return RefusedReply("store away", retryAfterStoreOutage)
 		}
 		s = &submission{job: job, data: data, done: make(chan struct{})}
-		h.byID[id] = s
-		h.subs = append(h.subs, s)
+		h.submissionsByID[id] = s
+		h.submissions = append(h.submissions, s)
 	}
 	h.mu.Unlock()
-	wait.Kick(h.rush)
+	wait.Kick(h.urgentCommit)
 	select {
 	case <-s.done:
-		h.log.Info("accepted", "job", id, "queue", q.Name, "tasks", tasks(job), "took", time.Since(job.At))
+		h.log.Info("accepted", "job", id, "queue", q.Name, "tasks", countTasks(job), "took", time.Since(job.At))
 		return Reply{Result: ResultDone}
 	case <-ctx.Done():
 	case <-h.ctx.Done():
 	}
-	return h.withdraw(s)
+	return h.withdrawSubmission(s)
 }
 
-func tasks(j *sched.Job) int {
+func countTasks(j *sched.Job) int {
 	n := 0
 	for _, s := range j.Steps {
 		n += s.Count
@@ -161,30 +161,30 @@
 	return n
 }
 
-// withdraw takes back a submission that isn't stored in time. One that is on its way to the
+// withdrawSubmission takes back a submission that isn't stored in time. One that is on its way to the
 // store may get there.
-func (h *Holder) withdraw(s *submission) Reply {
+func (h *Holder) withdrawSubmission(s *submission) Reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s.sent {
+	if s.writing {
 		return Reply{Result: ResultUnknown, Why: "store answers late"}
 	}
-	for i, o := range h.subs {
+	for i, o := range h.submissions {
 		if o == s {
-			h.subs = append(h.subs[:i:i], h.subs[i+1:]...)
-			delete(h.byID, s.job.ID)
+			h.submissions = append(h.submissions[:i:i], h.submissions[i+1:]...)
+			delete(h.submissionsByID, s.job.ID)
 			break
 		}
 	}
-	return Refuse("store away", afterOutage)
+	return RefusedReply("store away", retryAfterStoreOutage)
 }
 
-func (h *Holder) cancel(ctx context.Context, id string) Reply {
+func (h *Holder) cancelJob(ctx context.Context, id string) Reply {
 	h.mu.Lock()
 	was, known := h.core.State(id)
 	if !known {
 		h.mu.Unlock()
-		return h.absent(ctx, id)
+		return h.replyUnknownJob(ctx, id)
 	}
 	if was.Final() {
 		h.mu.Unlock()
@@ -192,10 +192,10 @@
 	}
 	h.core.Cancel(time.Now(), id)
 	done := make(chan struct{})
-	h.waiting[id] = append(h.waiting[id], done)
+	h.recordWaiters[id] = append(h.recordWaiters[id], done)
 	h.mu.Unlock()
-	wait.Kick(h.rush)
-	h.event()
+	wait.Kick(h.urgentCommit)
+	h.requestPlan()
 	select {
 	case <-done:
 		h.log.Info("cancelled", "job", id, "was", was)
@@ -206,26 +206,26 @@
 	return Reply{Result: ResultUnknown, Why: "store answers late"}
 }
 
-func (h *Holder) state(ctx context.Context, id string) Reply {
+func (h *Holder) replyState(ctx context.Context, id string) Reply {
 	h.mu.Lock()
 	s, known := h.core.State(id)
 	h.mu.Unlock()
 	if !known {
-		return h.absent(ctx, id)
+		return h.replyUnknownJob(ctx, id)
 	}
 	return Reply{Result: ResultState, State: s}
 }
 
-// absent answers for a job that isn't known here. The store is asked: a holder that has been
+// replyUnknownJob answers for a job that isn't known here. The store is asked: a holder that has been
 // replaced without knowing misses the jobs of its successor.
-func (h *Holder) absent(ctx context.Context, id string) Reply {
-	for _, key := range []string{keyJob + id, keyRun + id} {
+func (h *Holder) replyUnknownJob(ctx context.Context, id string) Reply {
+	for _, key := range []string{jobPrefix + id, progressPrefix + id} {
 		_, err := h.opt.Store.Get(ctx, key)
 		if err == nil {
-			return Refuse("job of another holder", AfterChange)
+			return RefusedReply("job of another holder", RetryAfterHolderChange)
 		}
 		if !errors.Is(err, store.ErrNotFound) {
-			return Refuse("store away", afterOutage)
+			return RefusedReply("store away", retryAfterStoreOutage)
 		}
 	}
 	return Reply{Result: ResultNoJob}
--- a/internal/batch/drive/watch.go
+++ b/internal/batch/drive/watch.go
@@ -11,70 +11,70 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// watch keeps a copy of the keys below a prefix and tells of each change.
-type watch struct {
+// prefixWatch keeps a copy of the keys below a prefix and tells of each change.
+type prefixWatch struct {
 	store  store.Multi
 	prefix string
-	// plain is how often the keys are read besides being watched: a watch may be cut off from
+	// readInterval is how often the keys are read besides being watched: a watch may be cut off from
 	// its changes, which silence doesn't tell from there being none.
-	plain time.Duration
+	readInterval time.Duration
 	// pause is between two watches: changes that come meanwhile are told by one call.
-	pause time.Duration
-	apply func(at time.Time, entries []store.Entry)
-	// read tells when the reading began that the copy is no older than.
-	read func(began time.Time)
+	pause    time.Duration
+	onChange func(at time.Time, entries []store.Entry)
+	// onConfirm tells when the reading began that the copy is no older than.
+	onConfirm func(began time.Time)
 
-	rows  map[string]store.Entry
-	rev   uint64
-	fresh time.Time // when the reading began that the copy is no older than
+	entries   map[string]store.Entry
+	rev       uint64
+	freshAsOf time.Time // when the reading began that the copy is no older than
 }
 
 const (
-	// watchWait is how long a watch waits; each is a call.
-	watchWait = 10 * time.Second
-	// watchPause is between two tries when the store doesn't answer.
-	watchPause = 150 * time.Millisecond
+	// watchTimeout is how long a watch waits; each is a call.
+	watchTimeout = 10 * time.Second
+	// watchRetryDelay is between two tries when the store doesn't answer.
+	watchRetryDelay = 150 * time.Millisecond
 )
 
-// load reads the keys for the first time.
-func (w *watch) load(ctx context.Context) error {
+// readAll reads the keys for the first time.
+func (w *prefixWatch) readAll(ctx context.Context) error {
 	at := time.Now()
 	p, err := w.store.Range(ctx, w.prefix)
 	if err != nil {
 		return err
 	}
 	if p.Rev < w.rev {
-		w.confirm(at) // the copy is of after the answer
+		w.confirmFresh(at) // the copy is of after the answer
 		return nil
 	}
 	w.rev = p.Rev
-	w.rows = make(map[string]store.Entry, len(p.Entries))
+	w.entries = make(map[string]store.Entry, len(p.Entries))
 	for _, e := range p.Entries {
-		w.rows[e.Key] = e
+		w.entries[e.Key] = e
 	}
-	w.notify(at)
-	w.confirm(at)
+	w.notifyChange(at)
+	w.confirmFresh(at)
 	return nil
 }
 
-// confirm notes that the copy is no older than a reading that began at a time.
-func (w *watch) confirm(began time.Time) {
-	if began.After(w.fresh) {
-		w.fresh = began
+// confirmFresh notes that the copy is no older than a reading that began at a time.
+func (w *prefixWatch) confirmFresh(began time.Time) {
+	if began.After(w.freshAsOf) {
+		w.freshAsOf = began
 	}
-	w.read(began)
+	w.onConfirm(began)
 }
 
-func (w *watch) notify(at time.Time) {
-	entries := make([]store.Entry, 0, len(w.rows))
-	for _, e := range w.rows {
+func (w *prefixWatch) notifyChange(at time.Time) {
+	entries := make([]store.Entry, 0, len(w.entries))
+	for _, e := range w.entries {
 		entries = append(entries, e)
 	}
 	sort.Slice(entries, func(i, k int) bool { return entries[i].Key < entries[k].Key })
-	w.apply(at, entries)
+	w.onChange(at, entries)
 }
 
-type events struct {
+type watchResult struct {
 	began   time.Time
 	changes []store.Change
 	rev     uint64
@@ -82,20 +82,20 @@
 }
 
 // run watches until ctx ends.
-func (w *watch) run(ctx context.Context) {
-	tick := time.NewTicker(w.plain)
+func (w *prefixWatch) run(ctx context.Context) {
+	tick := time.NewTicker(w.readInterval)
 	defer tick.Stop()
-	got := make(chan events, 1)
+	got := make(chan watchResult, 1)
 	watch := func() {
 		rev := w.rev
 		go func() {
 			wait.For(ctx, w.pause)
 			began := time.Now()
-			changes, next, err := w.store.Watch(ctx, w.prefix, rev, watchWait)
+			changes, next, err := w.store.Watch(ctx, w.prefix, rev, watchTimeout)
 			if err != nil && !errors.Is(err, store.ErrCompacted) {
-				wait.For(ctx, watchPause)
+				wait.For(ctx, watchRetryDelay)
 			}
-			got <- events{began, changes, next, err}
+			got <- watchResult{began, changes, next, err}
 		}()
 	}
 	watch()
@@ -105,21 +105,21 @@
 			<-got
 			return
 		case <-tick.C:
-			if time.Since(w.fresh) < w.plain/2 {
+			if time.Since(w.freshAsOf) < w.readInterval/2 {
 				continue // changes come in: the watch isn't cut off from them
 			}
 			// The watch goes on: what it brings is no older than its own start.
-			_ = w.load(ctx) // without an answer the copy stays, and the age of its confirmation tells
+			_ = w.readAll(ctx) // without an answer the copy stays, and the age of its confirmation tells
 		case n := <-got:
-			w.take(ctx, n)
+			w.applyResult(ctx, n)
 			watch()
 		}
 	}
 }
 
-func (w *watch) take(ctx context.Context, n events) {
+func (w *prefixWatch) applyResult(ctx context.Context, n watchResult) {
 	if n.err != nil {
-		_ = w.load(ctx) // as above
+		_ = w.readAll(ctx) // as above
 		return
 	}
 	if n.rev < w.rev {
@@ -131,11 +131,11 @@
 	}
 	for _, c := range n.changes {
 		if c.Deleted {
-			delete(w.rows, c.Key)
-		} else if c.Rev >= w.rows[c.Key].Rev {
-			w.rows[c.Key] = c.Entry
+			delete(w.entries, c.Key)
+		} else if c.Rev >= w.entries[c.Key].Rev {
+			w.entries[c.Key] = c.Entry
 		}
 	}
-	w.notify(time.Now())
-	w.confirm(n.began)
+	w.notifyChange(time.Now())
+	w.confirmFresh(n.began)
 }
--- a/internal/batch/drive/weak_test.go
+++ b/internal/batch/drive/weakhost_test.go
@@ -15,11 +15,11 @@
 	strongTurn = time.Millisecond
 	weakTurn   = 8 * time.Millisecond
 
-	strongCarries = 800 // workers
-	weakCarries   = 100
+	strongCapacity = 800 // workers
+	weakCapacity   = 100
 
-	weakWorkers = 150
-	weakTasks   = 100
+	workerCount = 150
+	taskCount   = 100
 )
 
 // A feed that is to last stands still on most workers, for many seconds and again and again,
@@ -28,11 +28,11 @@
 // of workers are renewed too late, and so is its own; then the next weak host takes over.
 func TestWeakHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 0, weakWorkers, source(1), seconds(time.Hour))
-		f.add(2, strongTurn, strongCarries)
+		f := newTestCluster(t, 0, workerCount, newRand(1), runsFor(time.Hour))
+		f.addHosts(2, strongTurn, strongCapacity)
 		time.Sleep(3 * time.Second) // one of these holds
-		f.add(12, weakTurn, weakCarries)
-		lasting := sched.Step{Count: weakTasks, Size: step(1).Size, Lasting: true}
+		f.addHosts(12, weakTurn, weakCapacity)
+		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, Lasting: true}
 		if r := f.submit("a", lasting); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
@@ -45,15 +45,15 @@
 			}
 			old.kill()
 			old.start()
-			if d := f.short(12*time.Second, weakTasks); d > calm {
+			if d := f.longestShortfall(12*time.Second, taskCount); d > maxOutage {
 				t.Errorf("after %s was lost, lasting tasks were without a run for %s", old.name, d)
 			}
 		}
-		if n := f.crew.Lapsed(); n > 0 {
+		if n := f.workers.Lapsed(); n > 0 {
 			t.Errorf("%d runs lapsed", n)
 		}
 		f.stop()
-		for _, fault := range f.crew.Faults() {
+		for _, fault := range f.workers.Faults() {
 			t.Error(fault)
 		}
 	})
@@ -63,10 +63,10 @@
 // of them wins the race for its key.
 func TestSlowedHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 0, weakWorkers, source(1), seconds(time.Hour))
-		f.add(8, strongTurn, strongCarries)
+		f := newTestCluster(t, 0, workerCount, newRand(1), runsFor(time.Hour))
+		f.addHosts(8, strongTurn, strongCapacity)
 		time.Sleep(3 * time.Second)
-		lasting := sched.Step{Count: weakTasks, Size: step(1).Size, Lasting: true}
+		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, Lasting: true}
 		if r := f.submit("a", lasting); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
@@ -83,37 +83,37 @@
 			}
 			for _, h := range f.hosts {
 				if h != sound {
-					h.pace(weakTurn, weakCarries)
+					h.setSpeed(weakTurn, weakCapacity)
 				}
 			}
 			old.kill()
 			old.start()
-			if d := f.short(12*time.Second, weakTasks); d > calm {
+			if d := f.longestShortfall(12*time.Second, taskCount); d > maxOutage {
 				t.Errorf("after %s was lost, lasting tasks were without a run for %s", old.name, d)
 			}
 			for _, h := range f.hosts {
-				h.pace(strongTurn, strongCarries)
+				h.setSpeed(strongTurn, strongCapacity)
 			}
 		}
-		if n := f.crew.Lapsed(); n > 0 {
+		if n := f.workers.Lapsed(); n > 0 {
 			t.Errorf("%d runs lapsed", n)
 		}
 		f.stop()
-		for _, fault := range f.crew.Faults() {
+		for _, fault := range f.workers.Faults() {
 			t.Error(fault)
 		}
 	})
 }
 
-// short watches the workers for a while and returns the longest time for which fewer than n
+// longestShortfall watches the workers for a while and returns the longest time for which fewer than n
 // tasks ran there.
-func (f *fleet) short(span time.Duration, n int) time.Duration {
+func (f *testCluster) longestShortfall(span time.Duration, n int) time.Duration {
 	const every = 50 * time.Millisecond
 	var now, longest time.Duration
 	for range span / every {
 		time.Sleep(every)
-		f.crew.Lapsed() // leases that have run out end their runs
-		if now += every; f.crew.Running() >= n {
+		f.workers.Lapsed() // leases that have run out end their runs
+		if now += every; f.workers.Running() >= n {
 			now = 0
 		}
 		longest = max(longest, now)
--- a/internal/fake/crew/crew.go
+++ b/internal/fake/crew/crew.go
@@ -206,7 +206,7 @@
 }
 
 // Order implements drive.WorkerClient.
-func (v *View) Order(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
+func (v *View) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
 	if v.lost(o.Life.ID) {
 		wait.For(ctx, unanswered)
 		return sched.OutcomeUnknown
--- a/internal/fake/plain/plain.go
+++ b/internal/fake/plain/plain.go
@@ -46,11 +46,11 @@
 
 // Codec reads what Configure and List write.
 func Codec() drive.Codec {
-	return drive.Codec{IntentPrefix: intentPrefix, Intent: intent, RosterPrefix: rosterPrefix, Member: member}
+	return drive.Codec{IntentPrefix: intentPrefix, DecodeIntent: intent, DirectoryPrefix: rosterPrefix, DecodeMember: member}
 }
 
 func intent(entries []store.Entry) (drive.Intent, error) {
-	in := drive.Intent{Out: map[string]bool{}}
+	in := drive.Intent{EvacuatedZones: map[string]bool{}}
 	for _, e := range entries {
 		if e.Key != configKey {
 			continue
@@ -58,7 +58,7 @@
 		if err := json.Unmarshal(e.Value, &in.Config); err != nil {
 			return in, errors.Wrap(err, "plain")
 		}
-		in.Known = true
+		in.HasConfig = true
 	}
 	return in, nil
 }
--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -154,7 +154,7 @@
 }
 
 // ask asks a host until it doesn't refuse.
-func (d *hostDemo) ask(ctx context.Context, h *demoHost, a drive.Ask) (drive.Reply, error) {
+func (d *hostDemo) ask(ctx context.Context, h *demoHost, a drive.Request) (drive.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, patient)
 	defer cancel()
 	for {
@@ -180,7 +180,7 @@
 	}
 	for i := range hostJobs {
 		id := fmt.Sprintf("book%d", len(d.jobs))
-		rep, err := d.ask(ctx, d.all[i%len(d.all)], drive.Ask{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/" + id, Job: data})
+		rep, err := d.ask(ctx, d.all[i%len(d.all)], drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/" + id, Job: data})
 		if err != nil {
 			return err
 		}
@@ -197,7 +197,7 @@
 	wait.For(ctx, hostAway)
 	once, end := context.WithTimeout(ctx, hostAsk)
 	defer end()
-	rep := d.all[0].desk.Handle(once, drive.Ask{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/refused", Job: []byte(`{"steps":[{"count":1}]}`)})
+	rep := d.all[0].desk.Handle(once, drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/refused", Job: []byte(`{"steps":[{"count":1}]}`)})
 	if rep.Result == drive.ResultDone {
 		d.broken = append(d.broken, "a hand-in was acknowledged with the store away")
 	}
@@ -244,7 +244,7 @@
 func (d *hostDemo) await(ctx context.Context, h *demoHost, id string) error {
 	end := time.Now().Add(patient)
 	for time.Now().Before(end) {
-		rep, err := d.ask(ctx, h, drive.Ask{Verb: drive.VerbState, Host: "demo", Path: "/books/" + id})
+		rep, err := d.ask(ctx, h, drive.Request{Verb: drive.VerbState, Host: "demo", Path: "/books/" + id})
 		if err != nil {
 			return err
 		}
--- a/internal/proc/front/desk.go
+++ b/internal/proc/front/desk.go
@@ -33,7 +33,7 @@
 const answerLimit = 3 * time.Second
 
 // Handle answers a request from here or, if another process holds, from there.
-func (d *Desk) Handle(ctx context.Context, a drive.Ask) drive.Reply {
+func (d *Desk) Handle(ctx context.Context, a drive.Request) drive.Reply {
 	began := time.Now()
 	rep := d.newest(ctx, a, d.pass)
 	d.tell(a, rep, time.Since(began))
@@ -46,13 +46,13 @@
 // take a configuration back. An older one also shows in the answer to a request that was on its
 // way to the store as the configuration changed; ended as of unknown outcome, that job was
 // lost to its caller. Asked again, whoever holds now answers for what it has stored.
-func (d *Desk) newest(ctx context.Context, a drive.Ask, pass func(context.Context, drive.Ask) drive.Reply) drive.Reply {
+func (d *Desk) newest(ctx context.Context, a drive.Request, pass func(context.Context, drive.Request) drive.Reply) drive.Reply {
 	rep := pass(ctx, a)
 	carried := false // it may have been, by an answer that was based on an older configuration
 	for d.older(rep.Version) {
 		carried = carried || a.Verb != drive.VerbState && (rep.Result == drive.ResultDone || rep.Result == drive.ResultUnknown)
 		if !wait.For(ctx, retryPause) {
-			rep = drive.Refuse("answer of a former holder", drive.AfterChange)
+			rep = drive.RefusedReply("answer of a former holder", drive.RetryAfterHolderChange)
 			break
 		}
 		rep = pass(ctx, a)
@@ -64,7 +64,7 @@
 }
 
 // tell logs an answer that a caller may ask about: any that isn't what was asked for.
-func (d *Desk) tell(a drive.Ask, rep drive.Reply, took time.Duration) {
+func (d *Desk) tell(a drive.Request, rep drive.Reply, took time.Duration) {
 	d.scope.Tagged(map[string]string{"verb": string(a.Verb), "result": string(rep.Result)}).Counter("answers").Inc(1)
 	d.scope.Tagged(map[string]string{"verb": string(a.Verb)}).Histogram("answer_time", answerTimes).RecordDuration(took)
 	switch rep.Result {
@@ -93,14 +93,14 @@
 // request sent to it would hang until its deadline and end without a known outcome.
 //
 // Where the store is silent too, no next holder can come, and the caller is told at once.
-func (d *Desk) pass(ctx context.Context, a drive.Ask) drive.Reply {
+func (d *Desk) pass(ctx context.Context, a drive.Request) drive.Reply {
 	sent := false
 	for {
 		holder, changed := d.lead.Holder()
 		away, isAway := d.peers.cutOff()
 		if isAway && d.own() == nil {
 			if !sent {
-				return drive.Refuse(whyAway, drive.AfterChange)
+				return drive.RefusedReply(whyAway, drive.RetryAfterHolderChange)
 			}
 			return open(a, whyAway)
 		}
@@ -112,7 +112,7 @@
 			sent = true
 			d.log.Info("no answer from holder", "holder", holder.Name, "path", a.Path, "cause", err.Error())
 		case !sent && err != nil:
-			return drive.Refuse(err.Error(), drive.AfterChange)
+			return drive.RefusedReply(err.Error(), drive.RetryAfterHolderChange)
 		}
 		// The outcome of what was sent is open: only a holder that has read the store knows it.
 		select {
@@ -132,9 +132,9 @@
 const retryPause = 100 * time.Millisecond
 
 // open is the reply for a request whose outcome isn't known.
-func open(a drive.Ask, why string) drive.Reply {
+func open(a drive.Request, why string) drive.Reply {
 	if a.Verb == drive.VerbState {
-		return drive.Refuse(why, drive.AfterChange)
+		return drive.RefusedReply(why, drive.RetryAfterHolderChange)
 	}
 	return drive.Reply{Result: drive.ResultUnknown, Why: why}
 }
@@ -147,7 +147,7 @@
 
 // try asks one holder, until it answers, another takes its place or there can be no answer; link.ErrLost says
 // that the request may have been carried out.
-func (d *Desk) try(ctx context.Context, holder lead.Holder, changed, away <-chan struct{}, a drive.Ask) (drive.Reply, error) {
+func (d *Desk) try(ctx context.Context, holder lead.Holder, changed, away <-chan struct{}, a drive.Request) (drive.Reply, error) {
 	if h := d.own(); h != nil {
 		return h.Handle(ctx, a), nil
 	}
@@ -165,7 +165,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	return link.Call[drive.Ask, drive.Reply](ctx, d.links.To(holder.Addr), "Peer.Handle", a)
+	return link.Call[drive.Request, drive.Reply](ctx, d.links.To(holder.Addr), "Peer.Handle", a)
 }
 
 func (d *Desk) own() *drive.Holder {
@@ -187,10 +187,10 @@
 }
 
 // Handle answers a request that another entry process took.
-func (p *Peer) Handle(a drive.Ask, rep *drive.Reply) error {
+func (p *Peer) Handle(a drive.Request, rep *drive.Reply) error {
 	h := p.d.own()
 	if h == nil {
-		*rep = drive.Refuse("no longer the holder", drive.AfterChange)
+		*rep = drive.RefusedReply("no longer the holder", drive.RetryAfterHolderChange)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), answerLimit)
--- a/internal/proc/front/desk_test.go
+++ b/internal/proc/front/desk_test.go
@@ -36,7 +36,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
 				n := 0
-				got := d.newest(ctx, drive.Ask{Verb: tt.verb}, func(context.Context, drive.Ask) drive.Reply {
+				got := d.newest(ctx, drive.Request{Verb: tt.verb}, func(context.Context, drive.Request) drive.Reply {
 					rep := tt.replies[min(n, len(tt.replies)-1)]
 					n++
 					return rep
--- a/internal/proc/front/hand.go
+++ b/internal/proc/front/hand.go
@@ -75,11 +75,11 @@
 	for ; t.Context().Err() == nil; wait.For(t.Context(), handLook) {
 		d := h.desk.own()
 		carries := h.carries()
-		if d == nil || time.Since(asked) < handEvery || time.Since(t.ConfirmedAt()) > aidAfter || d.Workers() <= carries || d.Waiting() {
+		if d == nil || time.Since(asked) < handEvery || time.Since(t.ConfirmedAt()) > aidAfter || d.TrackedWorkerCount() <= carries || d.HasWithheldTasks() {
 			continue
 		}
 		asked = time.Now()
-		workers := d.Workers()
+		workers := d.TrackedWorkerCount()
 		offers := h.peer.ask(t.Context(), h.peer.known(t.ConfirmedAt()), handLimit)
 		// One look alone may be mistaken, or the machine may be fast again.
 		carries = max(carries, h.carries())
--- a/internal/proc/front/host.go
+++ b/internal/proc/front/host.go
@@ -171,12 +171,12 @@
 	h.wg.Go(func() { h.hand(t) })
 	err := drive.Run(drive.Options{
 		Store: h.out.Store, Workers: h.out.Workers, Codec: h.out.Codec, Tenure: t, Log: h.log,
-		Lease: drive.WorkerLease(conf.Milliseconds(h.set.Bound.Hold)), Sure: drive.Unsure,
-		Hold:      conf.Milliseconds(h.set.Bound.Hold),
-		Stop:      conf.Milliseconds(h.set.Bound.Stop),
-		Keep:      2 * conf.Seconds(h.set.Bound.Keep),
-		PeersSure: h.peer.confirmed,
-		Scope:     h.desk.scope,
+		WorkerLease: drive.WorkerLease(conf.Milliseconds(h.set.Bound.Hold)), MaxUnconfirmed: drive.MaxUnconfirmed,
+		MaxWorkerLease:   conf.Milliseconds(h.set.Bound.Hold),
+		MaxStopTime:      conf.Milliseconds(h.set.Bound.Stop),
+		JobRetention:     2 * conf.Seconds(h.set.Bound.Keep),
+		PeersConfirmedAt: h.peer.confirmed,
+		Scope:            h.desk.scope,
 	}, h.desk.setOwn)
 	cause := ""
 	if err != nil {
