--- a/internal/batch/drive/cluster_test.go
+++ b/internal/batch/drive/cluster_test.go
@@ -217,7 +217,7 @@
 }
 
 func newStep(n int, after ...int) sched.Step {
-	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, After: after}
+	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, DependsOn: after}
 }
 
 // awaitState waits up to limit for a job's state.
--- a/internal/batch/drive/commit.go
+++ b/internal/batch/drive/commit.go
@@ -79,7 +79,7 @@
 	defer h.mu.Unlock()
 	r := &pendingCommit{}
 	room := lead.MaxWrites
-	crew := h.core.Tracked()
+	crew := h.core.TrackedWorkers()
 	if !sameMembers(crew, h.trackedWorkers) {
 		data, err := json.Marshal(crew)
 		if err != nil {
@@ -101,7 +101,7 @@
 		r.writes = append(r.writes, store.Write{Key: jobPrefix + s.job.ID, Value: s.data})
 	}
 	var err error
-	if r.batch, err = h.core.Collect((room - n) / 2); err != nil {
+	if r.batch, err = h.core.CollectChanges((room - n) / 2); err != nil {
 		return nil, err
 	}
 	for _, rec := range r.batch.Records {
@@ -117,7 +117,7 @@
 	}
 	// What has been learned goes along with a write that is due anyway.
 	if now := time.Now(); len(r.writes) > 0 && len(r.writes) < lead.MaxWrites && now.Sub(h.learnedModelStoredAt) > learnedModelInterval {
-		data, err := h.core.Learned()
+		data, err := h.core.EncodeModel()
 		if err != nil {
 			return nil, err
 		}
@@ -135,7 +135,7 @@
 		return false
 	}
 	for i := range a {
-		if a[i].Life != b[i].Life || a[i].Addr != b[i].Addr {
+		if a[i].Incarnation != b[i].Incarnation || a[i].Addr != b[i].Addr {
 			return false
 		}
 	}
@@ -148,14 +148,14 @@
 	h.mu.Lock()
 	h.writeStarted = time.Time{}
 	for _, s := range r.submissions {
-		h.core.Admit(now, s.job)
+		h.core.AddJob(now, s.job)
 		delete(h.submissionsByID, s.job.ID)
 		close(s.done)
 	}
-	h.core.Committed(r.batch)
+	h.core.MarkCommitted(r.batch)
 	if r.trackedWorkers != nil {
 		h.trackedWorkers = r.trackedWorkers
-		h.core.TrackedStored(r.trackedWorkers)
+		h.core.MarkTracked(r.trackedWorkers)
 	}
 	h.trackedCount = r.workerCount
 	close(h.commitDone)
@@ -171,7 +171,7 @@
 func (h *Holder) forgetLoop() {
 	for wait.For(h.ctx, forgetInterval) {
 		h.mu.Lock()
-		gone := h.core.Forget(time.Now(), h.opt.JobRetention)
+		gone := h.core.ForgetJobs(time.Now(), h.opt.JobRetention)
 		h.mu.Unlock()
 		for len(gone) > 0 {
 			n := min(len(gone), lead.MaxWrites)
--- a/internal/batch/drive/connect_test.go
+++ b/internal/batch/drive/connect_test.go
@@ -22,11 +22,11 @@
 	connected map[string]bool
 }
 
-func (c *connectingWorkers) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
+func (c *connectingWorkers) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
 	c.mu.Lock()
 	open := c.connected[l.ID]
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, l.Wait+l.Slack)
+	ctx, cancel := context.WithTimeout(ctx, l.Wait+l.AnswerSlack)
 	defer cancel()
 	for range connectTurns {
 		if !open && !c.cpu.take(ctx) {
--- a/internal/batch/drive/directory_test.go
+++ b/internal/batch/drive/directory_test.go
@@ -11,7 +11,7 @@
 	decodes := 0
 	r := directoryDecoder{decode: func(e store.Entry) (sched.Member, bool) {
 		decodes++
-		return sched.Member{Life: sched.Life{ID: e.Key}, Addr: string(e.Value)}, len(e.Value) > 0
+		return sched.Member{Incarnation: sched.Incarnation{ID: e.Key}, Addr: string(e.Value)}, len(e.Value) > 0
 	}}
 	entry := func(key, addr string, rev uint64) store.Entry {
 		return store.Entry{Key: key, Value: []byte(addr), Rev: rev}
--- a/internal/batch/drive/holder.go
+++ b/internal/batch/drive/holder.go
@@ -19,7 +19,7 @@
 // WorkerClient speaks to the workers.
 type WorkerClient interface {
 	// Poll asks a worker for its report; wait is bounded by the poll's own.
-	Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome)
+	Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome)
 	// SendOrder gives an order.
 	SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome
 }
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	h.log.Info("took over", "jobs", len(h.core.Jobs()), "workers", len(h.core.Workers()), "took", time.Since(began))
+	h.log.Info("took over", "jobs", len(h.core.JobIDs()), "workers", len(h.core.Workers()), "took", time.Since(began))
 	ready(h)
 	for _, f := range watches {
 		h.wg.Go(func() { f.run(h.ctx) })
@@ -181,7 +181,7 @@
 func (h *Holder) HasWithheldTasks() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.core.Standing(time.Now()).Held > 0
+	return h.core.Stats(time.Now()).WithheldTasks > 0
 }
 
 // loadState reads everything from the store, again until it succeeds or the tenure is over.
@@ -200,7 +200,7 @@
 
 func (h *Holder) tryLoadState(began time.Time) ([]*prefixWatch, error) {
 	core := sched.New(sched.Options{
-		Lease: h.opt.WorkerLease, Hold: h.opt.MaxWorkerLease, Stop: h.opt.MaxStopTime, Sure: h.opt.MaxUnconfirmed, Term: h.opt.Tenure.Term(),
+		WorkerLease: h.opt.WorkerLease, MaxWorkerLease: h.opt.MaxWorkerLease, MaxStopTime: h.opt.MaxStopTime, MaxUnconfirmed: h.opt.MaxUnconfirmed, Term: h.opt.Tenure.Term(),
 	}, began)
 	crew, err := h.readTrackedWorkers()
 	if err != nil {
@@ -212,7 +212,7 @@
 	if err := h.readLearnedModel(core); err != nil {
 		return nil, err
 	}
-	core.Inherit(began, crew)
+	core.InheritWorkers(began, crew)
 	h.mu.Lock()
 	h.core = core
 	h.trackedWorkers = crew
@@ -250,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	if err := core.Relearn(e.Value); err != nil {
+	if err := core.RestoreModel(e.Value); err != nil {
 		h.log.Error(err, "learning anew")
 	}
 	return nil
@@ -278,13 +278,13 @@
 		if err := json.Unmarshal(e.Value, spec); err != nil {
 			return errors.Wrapf(err, "drive: job %s", id)
 		}
-		if err := core.Restore(now, id, spec, progress[id]); err != nil {
+		if err := core.RestoreJob(now, id, spec, progress[id]); err != nil {
 			return err
 		}
 		delete(progress, id)
 	}
 	for id, data := range progress {
-		if err := core.Restore(now, id, nil, data); err != nil {
+		if err := core.RestoreJob(now, id, nil, data); err != nil {
 			return err
 		}
 	}
@@ -304,9 +304,9 @@
 	}
 	if in.HasConfig {
 		h.hasConfig = true
-		h.core.Configure(in.Config)
+		h.core.SetConfig(in.Config)
 	}
-	h.core.Out(in.EvacuatedZones)
+	h.core.SetEvacuatedZones(in.EvacuatedZones)
 	for _, u := range in.MaintenanceRequests {
 		if !h.loggedMaintenance[u] {
 			h.loggedMaintenance[u] = true
@@ -319,7 +319,7 @@
 func (h *Holder) applyDirectory(at time.Time, entries []store.Entry) {
 	members := h.directory.decodeAll(entries)
 	h.mu.Lock()
-	h.core.Roster(at, members)
+	h.core.UpdateDirectory(at, members)
 	h.mu.Unlock()
 	h.startPolling()
 	h.requestPlan()
@@ -329,13 +329,13 @@
 func (h *Holder) noteIntentRead(began time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.core.ReadIntent(began)
+	h.core.NoteIntentRead(began)
 }
 
 func (h *Holder) noteDirectoryRead(began time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.core.ReadRoster(began)
+	h.core.NoteDirectoryRead(began)
 }
 
 // newOutcomeCounter returns a counter by verb and outcome.
--- a/internal/batch/drive/orders_test.go
+++ b/internal/batch/drive/orders_test.go
@@ -33,7 +33,7 @@
 func (c *orderCounter) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
 	c.countSent(o)
 	wait.For(ctx, c.delay)
-	if c.silent[o.Life.ID] {
+	if c.silent[o.Incarnation.ID] {
 		wait.For(ctx, callLimit)
 		return sched.OutcomeUnknown
 	}
@@ -109,7 +109,7 @@
 			c.silent[fmt.Sprintf("w%d", i)] = true
 		}
 		tasks := newStep(workers * each)
-		tasks.Apart = each
+		tasks.MaxPerWorker = each
 		f.submit("a", tasks)
 		if took := f.awaitRunning((workers-silent)*each, 5*time.Second); took > time.Second {
 			t.Errorf("all tasks of sound workers run after %v, want at most 1s", took)
--- a/internal/batch/drive/plan.go
+++ b/internal/batch/drive/plan.go
@@ -27,13 +27,13 @@
 		behind := h.planLag.markPlanned(now)
 		orders := h.core.Plan(now)
 		took := time.Since(now)
-		outdated := h.core.Outdated()
-		waits := h.core.Waits()
-		placed, endings := h.core.Notes()
-		var stand sched.Standing
+		outdated := h.core.StaleCause()
+		waits := h.core.TakeUnplacedSteps()
+		placed, endings := h.core.TakeEvents()
+		var stand sched.Stats
 		show := shown.reportDue(now, behind)
 		if show {
-			stand = h.core.Standing(now)
+			stand = h.core.Stats(now)
 		}
 		h.mu.Unlock()
 		shown.logBlockedStarts(h, outdated)
@@ -41,8 +41,8 @@
 			shown.report(h, now, stand)
 		}
 		for _, w := range waits {
-			h.log.Info("waits", "job", w.Job, "step", w.Step, "image", w.Image, "tasks", w.Tasks, "since", w.Since, "workers", w.Workers,
-				"closed", w.Closed, "shut", w.Shut, "full", w.Full, "memory", w.Memory, "harm", w.Harm, "least", w.Least)
+			h.log.Info("waits", "job", w.Job, "step", w.Step, "image", w.Image, "tasks", w.Tasks, "since", w.Waited, "workers", w.Workers,
+				"closed", w.Unavailable, "shut", w.OverTarget, "full", w.NoResources, "memory", w.NoMemory, "harm", w.Interference, "least", w.LeastViolations)
 		}
 		h.logEvents(placed, endings)
 		for _, o := range orders {
@@ -55,21 +55,21 @@
 }
 
 // logEvents logs what became of steps and jobs.
-func (h *Holder) logEvents(placed []sched.Placed, endings []sched.Ending) {
+func (h *Holder) logEvents(placed []sched.StepPlaced, endings []sched.JobEnded) {
 	for _, p := range placed {
-		h.log.Info("placed", "job", p.Job, "queue", p.Queue, "round", p.Round, "step", p.Step, "tasks", p.Tasks,
-			"lasting", p.Lasting, "waited", p.Waited, "lacked", p.Lacked, "expect", p.Expect)
+		h.log.Info("placed", "job", p.Job, "queue", p.Queue, "round", p.Occurrence, "step", p.Step, "tasks", p.Tasks,
+			"lasting", p.LongRunning, "waited", p.Waited, "lacked", p.Unplaced, "expect", p.ExpectedTime)
 	}
 	for _, e := range endings {
-		h.log.Info("finished", "job", e.Job, "queue", e.Queue, "state", e.State, "took", e.Took, "aim", e.Aim)
+		h.log.Info("finished", "job", e.Job, "queue", e.Queue, "state", e.State, "took", e.Took, "aim", e.RelativeDeadline)
 	}
 }
 
 // updateConfirmation tells the core how fresh the tenure is; h.mu is held.
 func (h *Holder) updateConfirmation() {
-	h.core.Confirm(h.opt.Tenure.ConfirmedAt())
+	h.core.ConfirmHolder(h.opt.Tenure.ConfirmedAt())
 	if h.opt.PeersConfirmedAt != nil {
-		h.core.ConfirmByPeers(h.opt.PeersConfirmedAt())
+		h.core.ConfirmHolderByPeers(h.opt.PeersConfirmedAt())
 	}
 }
 
@@ -77,18 +77,18 @@
 func (h *Holder) executeOrder(o sched.Order) {
 	began := time.Now()
 	out, cause := h.sendOrder(o)
-	if o.Verb == sched.VerbStart || out != sched.OutcomeDone || o.Pace == 0 {
-		h.log.Info("order", "verb", o.Verb, "task", o.Task, "run", o.Run, "worker", o.Life.ID, "pace", o.Pace, "starved", o.Starved, "outcome", out, "cause", cause,
+	if o.Verb == sched.VerbStart || out != sched.OutcomeDone || o.CPULimit == 0 {
+		h.log.Info("order", "verb", o.Verb, "task", o.Task, "run", o.Run, "worker", o.Incarnation.ID, "pace", o.CPULimit, "starved", o.Starved, "outcome", out, "cause", cause,
 			"took", time.Since(began))
 	}
 	h.countOrder(string(o.Verb), string(out))
-	if out == sched.OutcomeFence {
-		h.endFencedTenure(o.Life.ID)
+	if out == sched.OutcomeFenced {
+		h.endFencedTenure(o.Incarnation.ID)
 		return
 	}
 	h.mu.Lock()
-	h.core.Answer(time.Now(), o, out)
-	limited := h.core.Limited()
+	h.core.HandleOutcome(time.Now(), o, out)
+	limited := h.core.StartsLimited()
 	h.mu.Unlock()
 	if out != sched.OutcomeDone || limited {
 		h.requestPlan()
@@ -96,13 +96,13 @@
 }
 
 // sendOrder sends an order to its worker, unless it has to stay; the cause says why.
-func (h *Holder) sendOrder(o sched.Order) (sched.Outcome, sched.Cause) {
+func (h *Holder) sendOrder(o sched.Order) (sched.Outcome, sched.UnsentCause) {
 	if h.ctx.Err() != nil {
-		return sched.OutcomeUnsent, sched.CauseTenure
+		return sched.OutcomeUnsent, sched.CauseNotHolder
 	}
 	h.mu.Lock()
 	h.updateConfirmation()
-	cause := h.core.Depart(time.Now(), o)
+	cause := h.core.CheckSend(time.Now(), o)
 	h.mu.Unlock()
 	if cause != sched.CauseNone {
 		return sched.OutcomeUnsent, cause
@@ -141,7 +141,7 @@
 		h.mu.Lock()
 		h.updateConfirmation()
 		sent := time.Now()
-		l, ok := h.core.Poll(sent, id)
+		l, ok := h.core.NextPoll(sent, id)
 		if !ok {
 			delete(h.polling, id)
 		}
@@ -167,20 +167,20 @@
 	}
 }
 
-func (h *Holder) handlePollResult(sent time.Time, l sched.Poll, rep sched.Report, out sched.Outcome) {
+func (h *Holder) handlePollResult(sent time.Time, l sched.PollRequest, rep sched.Report, out sched.Outcome) {
 	now := time.Now()
-	var news []sched.Finished
+	var news []sched.FinishedRun
 	h.mu.Lock()
 	switch out {
 	case sched.OutcomeDone:
-		news = h.core.Hear(sent, now, l.ID, rep)
-	case sched.OutcomeGone:
-		h.core.Gone(now, l.ID, l.Born)
+		news = h.core.HandleReport(sent, now, l.ID, rep)
+	case sched.OutcomeOtherIncarnation:
+		h.core.IncarnationEnded(now, l.ID, l.StartedAt)
 	default:
-		h.core.Missed(now, l.ID, l.Born)
+		h.core.PollFailed(now, l.ID, l.StartedAt)
 	}
 	h.mu.Unlock()
-	if out == sched.OutcomeFence {
+	if out == sched.OutcomeFenced {
 		h.endFencedTenure(l.ID)
 		return
 	}
@@ -200,7 +200,7 @@
 	defer t.Stop()
 	for {
 		h.mu.Lock()
-		unstored := h.core.Unacked(id)
+		unstored := h.core.HasUnackedEnds(id)
 		stored := h.commitDone
 		h.mu.Unlock()
 		if !unstored {
@@ -218,9 +218,9 @@
 }
 
 // logEnds tells of ends that are news. Until an end is acknowledged each poll repeats it.
-func (h *Holder) logEnds(worker string, news []sched.Finished) {
+func (h *Holder) logEnds(worker string, news []sched.FinishedRun) {
 	for _, f := range news {
-		h.countEnd("end", string(f.How))
-		h.log.Info("end", "task", f.Task, "run", f.Run, "how", f.How, "worker", worker, "seq", f.Seq)
+		h.countEnd("end", string(f.End))
+		h.log.Info("end", "task", f.Task, "run", f.Run, "how", f.End, "worker", worker, "seq", f.Seq)
 	}
 }
--- a/internal/batch/drive/processor_test.go
+++ b/internal/batch/drive/processor_test.go
@@ -61,7 +61,7 @@
 	cpu *processor
 }
 
-func (c *slowWorkers) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
+func (c *slowWorkers) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
 	if !c.cpu.take(ctx) {
 		return sched.Report{}, sched.OutcomeUnknown
 	}
--- a/internal/batch/drive/request.go
+++ b/internal/batch/drive/request.go
@@ -77,7 +77,7 @@
 	h.mu.Lock()
 	conf := h.core.Config()
 	known := h.hasConfig
-	q, ok := conf.Match(a.Host, a.Path)
+	q, ok := conf.MatchQueue(a.Host, a.Path)
 	version := conf.Version
 	h.mu.Unlock()
 	if !known {
@@ -96,7 +96,7 @@
 	case a.Verb == VerbState && id == "":
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return Reply{Result: ResultCount, Pending: h.core.Pending(q.Name)}
+		return Reply{Result: ResultCount, Pending: h.core.PendingJobs(q.Name)}
 	case id == "" || strings.Contains(id, "/") || strings.Contains(id, "."):
 		return Reply{Result: ResultBad, Why: "no job id"}
 	case a.Verb == VerbSubmit:
@@ -116,18 +116,18 @@
 	if err := json.Unmarshal(a.Job, job); err != nil {
 		return Reply{Result: ResultBad, Why: err.Error()}
 	}
-	if err := job.Check(); err != nil {
+	if err := job.Validate(); err != nil {
 		return Reply{Result: ResultBad, Why: err.Error()}
 	}
 	job.ID, job.Queue, job.Service = id, q.Name, q.Service
-	job.Priority, job.Tries, job.Stretch, job.Aim = q.Priority, q.Tries, q.Stretch, q.Aim
-	job.At = time.Now()
+	job.Priority, job.MaxAttempts, job.StretchFactor, job.DeadlineBase = q.Priority, q.Tries, q.Stretch, q.Aim
+	job.AcceptedAt = time.Now()
 	data, err := json.Marshal(job)
 	if err != nil {
 		return Reply{Result: ResultBad, Why: err.Error()}
 	}
 	h.mu.Lock()
-	if h.core.Has(id) {
+	if h.core.HasJob(id) {
 		h.mu.Unlock()
 		return Reply{Result: ResultDone, Why: "known"}
 	}
@@ -145,7 +145,7 @@
 	wait.Kick(h.urgentCommit)
 	select {
 	case <-s.done:
-		h.log.Info("accepted", "job", id, "queue", q.Name, "tasks", countTasks(job), "took", time.Since(job.At))
+		h.log.Info("accepted", "job", id, "queue", q.Name, "tasks", countTasks(job), "took", time.Since(job.AcceptedAt))
 		return Reply{Result: ResultDone}
 	case <-ctx.Done():
 	case <-h.ctx.Done():
@@ -181,7 +181,7 @@
 
 func (h *Holder) cancelJob(ctx context.Context, id string) Reply {
 	h.mu.Lock()
-	was, known := h.core.State(id)
+	was, known := h.core.JobState(id)
 	if !known {
 		h.mu.Unlock()
 		return h.replyUnknownJob(ctx, id)
@@ -190,7 +190,7 @@
 		h.mu.Unlock()
 		return Reply{Result: ResultDone}
 	}
-	h.core.Cancel(time.Now(), id)
+	h.core.CancelJob(time.Now(), id)
 	done := make(chan struct{})
 	h.recordWaiters[id] = append(h.recordWaiters[id], done)
 	h.mu.Unlock()
@@ -208,7 +208,7 @@
 
 func (h *Holder) replyState(ctx context.Context, id string) Reply {
 	h.mu.Lock()
-	s, known := h.core.State(id)
+	s, known := h.core.JobState(id)
 	h.mu.Unlock()
 	if !known {
 		return h.replyUnknownJob(ctx, id)
--- a/internal/batch/drive/staleness_test.go
+++ b/internal/batch/drive/staleness_test.go
@@ -114,8 +114,8 @@
 				f, s := newFaultStoreCluster(t, workers, func(o sched.Order) {
 					mu.Lock()
 					defer mu.Unlock()
-					started[o.Life.ID] = true
-					if o.Life.ID == "w0" && time.Since(leaves) > maxStartsAfterLeave {
+					started[o.Incarnation.ID] = true
+					if o.Incarnation.ID == "w0" && time.Since(leaves) > maxStartsAfterLeave {
 						t.Errorf("a start on w0 leaves %v after the worker did", time.Since(leaves))
 					}
 				})
@@ -127,7 +127,7 @@
 				mu.Unlock()
 				time.Sleep(maxStartsAfterLeave + time.Second)
 				apart := newStep(workers)
-				apart.Apart = 1
+				apart.MaxPerWorker = 1
 				f.submit("a", apart)
 				time.Sleep(3 * time.Second)
 				s.setFaults(nil, nil)
--- a/internal/batch/drive/takeover_test.go
+++ b/internal/batch/drive/takeover_test.go
@@ -20,7 +20,7 @@
 
 // lastingStep is a step of n lastingStep tasks, at most three of which share a worker.
 func lastingStep(n int) sched.Step {
-	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, Lasting: true, Apart: 3}
+	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, LongRunning: true, MaxPerWorker: 3}
 }
 
 // awaitRunning waits until n tasks run and returns how long that took.
--- a/internal/batch/drive/weakhost_test.go
+++ b/internal/batch/drive/weakhost_test.go
@@ -32,7 +32,7 @@
 		f.addHosts(2, strongTurn, strongCapacity)
 		time.Sleep(3 * time.Second) // one of these holds
 		f.addHosts(12, weakTurn, weakCapacity)
-		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, Lasting: true}
+		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, LongRunning: true}
 		if r := f.submit("a", lasting); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
@@ -66,7 +66,7 @@
 		f := newTestCluster(t, 0, workerCount, newRand(1), runsFor(time.Hour))
 		f.addHosts(8, strongTurn, strongCapacity)
 		time.Sleep(3 * time.Second)
-		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, Lasting: true}
+		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, LongRunning: true}
 		if r := f.submit("a", lasting); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
--- a/internal/batch/sched/repeat_test.go
+++ b/internal/batch/sched/backoff_test.go
@@ -7,12 +7,12 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// unanswered is how long an order may wait for its answer.
-const unanswered = 600 * time.Millisecond
+// answerTimeout is how long an order may wait for its answer.
+const answerTimeout = 600 * time.Millisecond
 
-// storm plays workers that answer no order, for some time. It returns when each order of a kind was planned, and the
+// planUnanswered plays workers that answer no order, for some time. It returns when each order of a kind was planned, and the
 // most that were under way at a time.
-func (b *bench) storm(v sched.Verb, span time.Duration) (at []time.Duration, most int) {
+func (b *harness) planUnanswered(v sched.Verb, span time.Duration) (at []time.Duration, most int) {
 	type open struct {
 		order sched.Order
 		until time.Time
@@ -20,27 +20,27 @@
 	var under []open
 	began := b.now
 	for b.now.Sub(began) < span {
-		b.after(20 * time.Millisecond)
+		b.advance(20 * time.Millisecond)
 		for len(under) > 0 && !b.now.Before(under[0].until) {
-			b.core.Answer(b.now, under[0].order, sched.OutcomeUnknown)
+			b.core.HandleOutcome(b.now, under[0].order, sched.OutcomeUnknown)
 			under = under[1:]
 		}
 		for _, o := range b.core.Plan(b.now) {
 			if o.Verb == v {
 				at = append(at, b.now.Sub(began))
-				under = append(under, open{o, b.now.Add(unanswered)})
+				under = append(under, open{o, b.now.Add(answerTimeout)})
 			}
 		}
 		most = max(most, len(under))
 	}
 	for _, o := range under {
-		b.core.Answer(b.now, o.order, sched.OutcomeUnknown)
+		b.core.HandleOutcome(b.now, o.order, sched.OutcomeUnknown)
 	}
 	return at, most
 }
 
-// spaced checks that orders come one at a time, ever more seldom and never more than limit apart.
-func spaced(t *testing.T, at []time.Duration, most int, limit time.Duration) {
+// checkSpacing checks that orders come one at a time, ever more seldom and never more than limit apart.
+func checkSpacing(t *testing.T, at []time.Duration, most int, limit time.Duration) {
 	t.Helper()
 	if most != 1 {
 		t.Errorf("%d of one run's orders under way together, want 1", most)
@@ -62,51 +62,51 @@
 // holder sends each stop anew before it has given up the former one, on one more connection, until workers refuse
 // connections and even polls fail.
 func TestStopsDontPileUp(t *testing.T) {
-	b := newBench(t, 1, 1).open()
-	b.core.Admit(b.now, one("j", nil))
-	o := b.plan(sched.VerbStart)[0]
-	b.after(time.Second)
-	b.core.Cancel(b.now, "j")
-	at, most := b.storm(sched.VerbStop, 20*time.Second)
-	spaced(t, at, most, 3*time.Second)
-	b.after(3 * time.Second)
-	if got := b.plan(sched.VerbStop); len(got) != 1 || got[0].Run != o.Run {
+	b := newHarness(t, 1, 1).openWorkers()
+	b.core.AddJob(b.now, oneTaskJob("j", nil))
+	o := b.planOrders(sched.VerbStart)[0]
+	b.advance(time.Second)
+	b.core.CancelJob(b.now, "j")
+	at, most := b.planUnanswered(sched.VerbStop, 20*time.Second)
+	checkSpacing(t, at, most, 3*time.Second)
+	b.advance(3 * time.Second)
+	if got := b.planOrders(sched.VerbStop); len(got) != 1 || got[0].Run != o.Run {
 		t.Errorf("stops %v once the worker answers, want one", got)
 	}
-	b.after(3 * time.Second)
-	if got := b.plan(sched.VerbStop); len(got) != 0 {
+	b.advance(3 * time.Second)
+	if got := b.planOrders(sched.VerbStop); len(got) != 0 {
 		t.Errorf("stops %v after an answer, want none", got)
 	}
 }
 
 // The same with paces, of which a feed beside filling tasks needs many.
 func TestPacesDontPileUp(t *testing.T) {
-	b, serve, fill := sharing(t)
-	b.show(serve, fill, 4*time.Millisecond, 3000)
+	b, serve, fill := newColocated(t)
+	b.reportMeasurements(serve, fill, 4*time.Millisecond, 3000)
 	for range 6 {
-		b.show(serve, fill, 90*time.Millisecond, 3000)
+		b.reportMeasurements(serve, fill, 90*time.Millisecond, 3000)
 	}
-	at, most := b.storm(sched.VerbPace, 20*time.Second)
-	spaced(t, at, most, 3*time.Second)
+	at, most := b.planUnanswered(sched.VerbThrottle, 20*time.Second)
+	checkSpacing(t, at, most, 3*time.Second)
 }
 
 // A cancelled job runs on. Its worker has started anew while a stop was under way, whose answer names the
 // former life: the next stop must not wait for that one for good.
-func TestStopOfFormerLife(t *testing.T) {
-	b := newBench(t, 1, 1).open()
-	b.core.Admit(b.now, one("j", nil))
+func TestStopOfFormerIncarnation(t *testing.T) {
+	b := newHarness(t, 1, 1).openWorkers()
+	b.core.AddJob(b.now, oneTaskJob("j", nil))
 	o := b.core.Plan(b.now)[0]
-	b.core.Answer(b.now, o, sched.OutcomeUnknown)
-	b.after(time.Second)
+	b.core.HandleOutcome(b.now, o, sched.OutcomeUnknown)
+	b.advance(time.Second)
 	b.poll("w0", sched.Report{})
 	stops := b.core.Plan(b.now)
 	if len(stops) != 1 || stops[0].Verb != sched.VerbStop {
 		t.Fatalf("planned %v, want a stop", stops)
 	}
-	b.poll("w0", sched.Report{Born: 2})
-	b.core.Answer(b.now, stops[0], sched.OutcomeGone)
-	b.after(time.Second)
-	if got := b.plan(sched.VerbStop); len(got) != 1 {
+	b.poll("w0", sched.Report{StartedAt: 2})
+	b.core.HandleOutcome(b.now, stops[0], sched.OutcomeOtherIncarnation)
+	b.advance(time.Second)
+	if got := b.planOrders(sched.VerbStop); len(got) != 1 {
 		t.Errorf("stops %v in the new life, want one", got)
 	}
 }
--- a/internal/batch/sched/bench_test.go
+++ b/internal/batch/sched/bench_test.go
@@ -9,54 +9,54 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// planner plays a holder's work on workers full of serving and filling tasks: reports come in, tasks
+// planBench plays a holder's work on workers full of serving and filling tasks: reports come in, tasks
 // end, and as many new jobs come as have ended.
-type planner struct {
-	core    *sched.Core
-	now     time.Time
-	ids     []string
-	reports map[string]*sched.Report
-	seq     map[string]int64
-	turn    int // of the worker that is heard next
-	jobs    int
-	starts  int
-	starved int  // of these, of starved jobs
-	ended   int  // tasks that ended and were not replaced by a new job yet
-	late    bool // filling jobs come too late to be worth anything
+type planBench struct {
+	core          *sched.Core
+	now           time.Time
+	ids           []string
+	reports       map[string]*sched.Report
+	lastSeq       map[string]int64
+	nextWorker    int // of the worker that is heard next
+	submitted     int
+	starts        int
+	starvedStarts int  // of these, of starved jobs
+	unreplaced    int  // tasks that ended and were not replaced by a new job yet
+	lateJobs      bool // filling jobs come too late to be worth anything
 }
 
 // Load of the benchmark, for each worker.
 const (
-	lastingEach = 0.8 // serving jobs
-	waitingEach = 6   // filling jobs at the start, of which most wait
-	heardEach   = 48  // one worker in so many is heard between two plans
+	servingPerWorker    = 0.8 // serving jobs
+	bestEffortPerWorker = 6   // filling jobs at the start, of which most wait
+	workersPerPlan      = 48  // one worker in so many is heard between two plans
 )
 
 // Tails of serving tasks without much load, and with so much that few filling tasks find a place beside them.
 const (
-	calmTail = 12 * time.Millisecond
-	busyTail = 18 * time.Millisecond
+	lowLoadTail  = 12 * time.Millisecond
+	highLoadTail = 18 * time.Millisecond
 )
 
-func newPlanner(workers int, late bool) *planner {
-	p := &planner{
-		late: late,
-		core: sched.New(sched.Options{Lease: lease, Sure: time.Hour, Term: 1}, start()), now: start(),
-		reports: map[string]*sched.Report{}, seq: map[string]int64{},
+func newPlanBench(workers int, late bool) *planBench {
+	p := &planBench{
+		lateJobs: late,
+		core:     sched.New(sched.Options{WorkerLease: lease, MaxUnconfirmed: time.Hour, Term: 1}, epoch()), now: epoch(),
+		reports: map[string]*sched.Report{}, lastSeq: map[string]int64{},
 	}
-	p.core.Roster(start(), members(workers))
-	p.core.TrackedStored(p.core.Tracked())
-	for _, m := range p.core.Tracked() {
+	p.core.UpdateDirectory(epoch(), members(workers))
+	p.core.MarkTracked(p.core.TrackedWorkers())
+	for _, m := range p.core.TrackedWorkers() {
 		p.ids = append(p.ids, m.ID)
-		p.reports[m.ID] = &sched.Report{Born: 1}
-		p.hear(m.ID)
+		p.reports[m.ID] = &sched.Report{StartedAt: 1}
+		p.hearWorker(m.ID)
 	}
-	for i := range int(lastingEach * float64(workers)) {
-		p.core.Admit(p.now, serving(fmt.Sprintf("s%d", i), fmt.Sprintf("s%d", i%5)))
+	for i := range int(servingPerWorker * float64(workers)) {
+		p.core.AddJob(p.now, servingJob(fmt.Sprintf("s%d", i), fmt.Sprintf("s%d", i%5)))
 	}
-	p.plan()
-	for range min(waitingEach*workers, 2000) {
-		p.submit()
+	p.planOrders()
+	for range min(bestEffortPerWorker*workers, 2000) {
+		p.submitJob()
 	}
 	for range 300 {
 		p.step()
@@ -64,79 +64,79 @@
 	return p
 }
 
-func (p *planner) submit() {
-	j := filling(fmt.Sprintf("f%d", p.jobs), fmt.Sprintf("f%d", p.jobs%9), 1000+50*(p.jobs%30))
-	if p.late {
-		j.At = j.At.Add(-time.Hour)
+func (p *planBench) submitJob() {
+	j := bestEffortJob(fmt.Sprintf("f%d", p.submitted), fmt.Sprintf("f%d", p.submitted%9), 1000+50*(p.submitted%30))
+	if p.lateJobs {
+		j.AcceptedAt = j.AcceptedAt.Add(-time.Hour)
 	}
-	p.core.Admit(p.now, j)
-	p.jobs++
+	p.core.AddJob(p.now, j)
+	p.submitted++
 }
 
-// hear has a worker report, as on a busy day every half second or so.
-func (p *planner) hear(id string) {
+// hearWorker has a worker report, as on a busy day every half second or so.
+func (p *planBench) hearWorker(id string) {
 	r := p.reports[id]
-	r.Clock = p.now.Sub(start())
-	p.core.Confirm(p.now)
-	p.core.Poll(p.now, id)
-	p.core.Hear(p.now.Add(-time.Millisecond), p.now, id, *r)
-	p.core.Poll(p.now, id)
+	r.Clock = p.now.Sub(epoch())
+	p.core.ConfirmHolder(p.now)
+	p.core.NextPoll(p.now, id)
+	p.core.HandleReport(p.now.Add(-time.Millisecond), p.now, id, *r)
+	p.core.NextPoll(p.now, id)
 }
 
-// end has the oldest filling task of a worker end.
-func (p *planner) end(id string) {
+// endTask has the oldest filling task of a worker endTask.
+func (p *planBench) endTask(id string) {
 	r := p.reports[id]
 	r.Finished = nil
 	for i, row := range r.Running {
-		if row.Tail > 0 {
+		if row.TailLatency > 0 {
 			continue
 		}
-		p.seq[id]++
+		p.lastSeq[id]++
 		r.Running = append(r.Running[:i:i], r.Running[i+1:]...)
-		r.Finished = []sched.Finished{{Seq: p.seq[id], Task: row.Task, Run: row.Run, How: sched.EndDone}}
-		p.ended++
+		r.Finished = []sched.FinishedRun{{Seq: p.lastSeq[id], Task: row.Task, Run: row.Run, End: sched.EndDone}}
+		p.unreplaced++
 		return
 	}
 }
 
-// events are what a holder hears between two plans.
-func (p *planner) events() {
+// playEvents are what a holder hears between two plans.
+func (p *planBench) playEvents() {
 	p.now = p.now.Add(10 * time.Millisecond)
-	for range max(1, len(p.ids)/heardEach) {
-		id := p.ids[p.turn%len(p.ids)]
-		p.turn++
-		p.end(id)
-		p.hear(id)
+	for range max(1, len(p.ids)/workersPerPlan) {
+		id := p.ids[p.nextWorker%len(p.ids)]
+		p.nextWorker++
+		p.endTask(id)
+		p.hearWorker(id)
 	}
-	for ; p.ended >= 8; p.ended -= 8 {
-		p.submit()
+	for ; p.unreplaced >= 8; p.unreplaced -= 8 {
+		p.submitJob()
 	}
 }
 
-func (p *planner) plan() {
+func (p *planBench) planOrders() {
 	for _, o := range p.core.Plan(p.now) {
-		p.core.Answer(p.now, o, sched.OutcomeDone)
+		p.core.HandleOutcome(p.now, o, sched.OutcomeDone)
 		if o.Verb != sched.VerbStart {
 			continue
 		}
 		p.starts++
 		if o.Starved {
-			p.starved++
+			p.starvedStarts++
 		}
-		row := sched.Running{Task: o.Task.String(), Run: o.Run, Part: 100, Usage: 1500}
+		row := sched.RunStatus{Task: o.Task.String(), Run: o.Run, Progress: 100, CPUUsage: 1500}
 		if o.Task.Job[0] == 's' {
-			row.Tail = calmTail
-			if p.late {
-				row.Tail = busyTail
+			row.TailLatency = lowLoadTail
+			if p.lateJobs {
+				row.TailLatency = highLoadTail
 			}
 		}
-		p.reports[o.Life.ID].Running = append(p.reports[o.Life.ID].Running, row)
+		p.reports[o.Incarnation.ID].Running = append(p.reports[o.Incarnation.ID].Running, row)
 	}
 }
 
-func (p *planner) step() {
-	p.events()
-	p.plan()
+func (p *planBench) step() {
+	p.playEvents()
+	p.planOrders()
 }
 
 // BenchmarkPlan plans with workers full of serving and filling tasks and with jobs that wait, with reports,
@@ -156,31 +156,31 @@
 }
 
 func benchmarkPlan(b *testing.B, workers int, late bool) {
-	p := newPlanner(workers, late)
-	p.starts, p.starved = 0, 0
+	p := newPlanBench(workers, late)
+	p.starts, p.starvedStarts = 0, 0
 	var planned time.Duration
 	b.ResetTimer()
 	for range b.N {
-		p.events()
+		p.playEvents()
 		began := time.Now()
-		p.plan()
+		p.planOrders()
 		planned += time.Since(began)
 	}
 	b.ReportMetric(float64(planned.Microseconds())/float64(b.N), "us/plan")
 	b.ReportMetric(float64(planned.Microseconds())/float64(max(p.starts, 1)), "us/start")
 	b.ReportMetric(float64(p.starts)/float64(b.N), "starts/plan")
-	b.ReportMetric(float64(p.starved)/float64(b.N), "starved/plan")
+	b.ReportMetric(float64(p.starvedStarts)/float64(b.N), "starved/plan")
 }
 
-func serving(id, image string) *sched.Job {
-	return &sched.Job{ID: id, Queue: "serve", Service: "s", Tries: 2, At: start(), Steps: []sched.Step{{
-		Count: 6, Size: wire.Size{CPU: 2800, Mem: 6400}, Lasting: true, Image: image, Target: 24 * time.Millisecond,
+func servingJob(id, image string) *sched.Job {
+	return &sched.Job{ID: id, Queue: "serve", Service: "s", MaxAttempts: 2, AcceptedAt: epoch(), Steps: []sched.Step{{
+		Count: 6, Size: wire.Size{CPU: 2800, Mem: 6400}, LongRunning: true, Image: image, TailTarget: 24 * time.Millisecond,
 	}}}
 }
 
-func filling(id, image string, cpu int) *sched.Job {
-	return &sched.Job{ID: id, Queue: "fill", Service: "s", Tries: 2, At: start(), Priority: 2, Aim: time.Second, Stretch: 2,
-		Steps: []sched.Step{{Count: 8, Size: wire.Size{CPU: cpu, Mem: 3200}, Fills: true, Image: image, Estimate: 2 * time.Second}}}
+func bestEffortJob(id, image string, cpu int) *sched.Job {
+	return &sched.Job{ID: id, Queue: "fill", Service: "s", MaxAttempts: 2, AcceptedAt: epoch(), Priority: 2, DeadlineBase: time.Second, StretchFactor: 2,
+		Steps: []sched.Step{{Count: 8, Size: wire.Size{CPU: cpu, Mem: 3200}, BestEffort: true, Image: image, Estimate: 2 * time.Second}}}
 }
 
 // BenchmarkInherit takes over workers that a former holder may have given work to: 3,000 took 1,470 ms when each
@@ -190,8 +190,8 @@
 		crew := members(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				core := sched.New(sched.Options{Lease: lease, Sure: time.Hour, Term: 1}, start())
-				core.Inherit(start(), crew)
+				core := sched.New(sched.Options{WorkerLease: lease, MaxUnconfirmed: time.Hour, Term: 1}, epoch())
+				core.InheritWorkers(epoch(), crew)
 			}
 		})
 	}
--- a/internal/batch/sched/estimate.go
+++ b/internal/batch/sched/estimate.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// learner keeps for each queue how long its tasks take against the callers' estimates.
-type learner struct {
-	ratio map[string]float64
+// durationEstimator keeps for each queue how long its tasks take against the callers' estimates.
+type durationEstimator struct {
+	ratios map[string]float64
 }
 
 const (
-	// learnShare is the weight of a new figure: some twenty ends are remembered.
-	learnShare = 0.05
-	// guess stands in for a task's time where there is no estimate.
-	guess = time.Second
+	// smoothing is the weight of a new figure: some twenty ends are remembered.
+	smoothing = 0.05
+	// defaultEstimate stands in for a task's time where there is no estimate.
+	defaultEstimate = time.Second
 )
 
-func (l *learner) note(queue string, est, took time.Duration) {
+func (l *durationEstimator) observe(queue string, est, took time.Duration) {
 	if est <= 0 {
 		return
 	}
-	if l.ratio == nil {
-		l.ratio = map[string]float64{}
+	if l.ratios == nil {
+		l.ratios = map[string]float64{}
 	}
 	x := float64(took) / float64(est)
-	old, ok := l.ratio[queue]
+	old, ok := l.ratios[queue]
 	if !ok {
 		old = 1
 	}
-	l.ratio[queue] = old + learnShare*(x-old)
+	l.ratios[queue] = old + smoothing*(x-old)
 }
 
-// expect returns how long a task with that estimate will take.
-func (l *learner) expect(queue string, est time.Duration) time.Duration {
+// estimate returns how long a task with that estimate will take.
+func (l *durationEstimator) estimate(queue string, est time.Duration) time.Duration {
 	if est <= 0 {
-		est = guess
+		est = defaultEstimate
 	}
-	if r, ok := l.ratio[queue]; ok {
+	if r, ok := l.ratios[queue]; ok {
 		return time.Duration(r * float64(est))
 	}
 	return est
--- a/internal/batch/sched/choice_test.go
+++ b/internal/batch/sched/feasible_test.go
@@ -8,13 +8,13 @@
 
 // A worker that names no rack is taken for two, and gets more tasks of a step than may run on one.
 func TestApartWithoutRack(t *testing.T) {
-	b := newBench(t, 1, 1)
+	b := newHarness(t, 1, 1)
 	all := members(1)
 	all[0].Rack = ""
-	b.core.Roster(b.now, all)
-	b.open()
-	b.core.Admit(b.now, one("j", func(j *sched.Job) { j.Steps[0].Count, j.Steps[0].Apart = 3, 1 }))
-	if got := b.plan(sched.VerbStart); len(got) != 1 {
+	b.core.UpdateDirectory(b.now, all)
+	b.openWorkers()
+	b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) { j.Steps[0].Count, j.Steps[0].MaxPerWorker = 3, 1 }))
+	if got := b.planOrders(sched.VerbStart); len(got) != 1 {
 		t.Errorf("%d starts, want 1", len(got))
 	}
 }
--- a/internal/batch/sched/flow_test.go
+++ b/internal/batch/sched/limiter_test.go
@@ -27,8 +27,8 @@
 		{"neither early nor late", 100 * time.Millisecond, sched.OutcomeDone, 4, first, first},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t, 1, 100).open()
-			b.core.Admit(b.now, one("j", func(j *sched.Job) {
+			b := newHarness(t, 1, 100).openWorkers()
+			b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) {
 				j.Steps[0].Count, j.Steps[0].Size = 1000, wire.Size{CPU: 100, Mem: 10}
 			}))
 			n := 0
@@ -36,11 +36,11 @@
 				orders := b.core.Plan(b.now)
 				n = len(orders)
 				for _, o := range orders {
-					b.core.Depart(b.now, o)
+					b.core.CheckSend(b.now, o)
 				}
-				b.after(tt.took)
+				b.advance(tt.took)
 				for _, o := range orders {
-					b.core.Answer(b.now, o, tt.out)
+					b.core.HandleOutcome(b.now, o, tt.out)
 				}
 			}
 			if n < tt.least || n > tt.most {
@@ -51,9 +51,9 @@
 }
 
 // Workers that leave orders unanswered hold up the starts on others for a moment only.
-func TestSilentStartsAreForgotten(t *testing.T) {
-	b := newBench(t, 1, 100).open()
-	b.core.Admit(b.now, one("j", func(j *sched.Job) {
+func TestUnansweredStartsExpire(t *testing.T) {
+	b := newHarness(t, 1, 100).openWorkers()
+	b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) {
 		j.Steps[0].Count, j.Steps[0].Size = 1000, wire.Size{CPU: 100, Mem: 10}
 	}))
 	if n := len(b.core.Plan(b.now)); n == 0 {
@@ -62,7 +62,7 @@
 	if n := len(b.core.Plan(b.now)); n != 0 {
 		t.Errorf("%d further starts while those under way may be answered", n)
 	}
-	b.after(400 * time.Millisecond)
+	b.advance(400 * time.Millisecond)
 	if n := len(b.core.Plan(b.now)); n == 0 {
 		t.Error("no further start though those under way aren't answered")
 	}
--- a/internal/batch/sched/move_test.go
+++ b/internal/batch/sched/move_test.go
@@ -12,7 +12,7 @@
 // drains, the feed's task stays there to the end, and is begun anew only when its lease has
 // lapsed. Shortly before the worker may leave it's to be moved to one where its like serve;
 // certificates in print, which mostly end in time, aren't.
-func TestLeavingWorker(t *testing.T) {
+func TestDrainingWorker(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		image string // of the feeds on the other worker
@@ -26,37 +26,37 @@
 		{"certificate", "a", false, 1600 * time.Millisecond, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t, 1, 2).open()
+			b := newHarness(t, 1, 2).openWorkers()
 			// The only task on the second worker leaves no room there at first.
-			b.core.Admit(b.now, one("big", func(j *sched.Job) { j.Steps[0].Size, j.Steps[0].Label = wire.Size{CPU: 1000, Mem: 64000}, "w1" }))
-			big := b.plan(sched.VerbStart)[0]
-			b.core.Admit(b.now, one("j", func(j *sched.Job) { j.Steps[0].Lasting, j.Steps[0].Image = tt.lasts, "a" }))
-			first := b.plan(sched.VerbStart)[0]
-			row := running(first)
-			row.Part = 100
-			b.after(100 * time.Millisecond)
-			b.poll("w0", sched.Report{Running: []sched.Running{row}})
-			b.poll("w1", sched.Report{Finished: []sched.Finished{finished(1, big, sched.EndDone)}})
-			beside := serving("beside", tt.image)
-			beside.Steps[0].Count, beside.Steps[0].Label = 2, "w1"
-			b.core.Admit(b.now, beside)
-			b.plan(sched.VerbStart)
+			b.core.AddJob(b.now, oneTaskJob("big", func(j *sched.Job) { j.Steps[0].Size, j.Steps[0].RequiredLabel = wire.Size{CPU: 1000, Mem: 64000}, "w1" }))
+			big := b.planOrders(sched.VerbStart)[0]
+			b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) { j.Steps[0].LongRunning, j.Steps[0].Image = tt.lasts, "a" }))
+			first := b.planOrders(sched.VerbStart)[0]
+			row := runningRow(first)
+			row.Progress = 100
+			b.advance(100 * time.Millisecond)
+			b.poll("w0", sched.Report{Running: []sched.RunStatus{row}})
+			b.poll("w1", sched.Report{Finished: []sched.FinishedRun{finishedRow(1, big, sched.EndDone)}})
+			beside := servingJob("beside", tt.image)
+			beside.Steps[0].Count, beside.Steps[0].RequiredLabel = 2, "w1"
+			b.core.AddJob(b.now, beside)
+			b.planOrders(sched.VerbStart)
 
 			all := members(2)
-			all[0].Draining, all[0].Left = true, 2*time.Second
-			b.core.Roster(b.now, all)
-			b.after(tt.wait)
-			b.core.Roster(b.now, all)
-			stops := b.plan(sched.VerbStop)
+			all[0].Draining, all[0].DrainRemaining = true, 2*time.Second
+			b.core.UpdateDirectory(b.now, all)
+			b.advance(tt.wait)
+			b.core.UpdateDirectory(b.now, all)
+			stops := b.planOrders(sched.VerbStop)
 			if (len(stops) == 1) != tt.moves {
 				t.Fatalf("stops: %v", stops)
 			}
 			if !tt.moves {
 				return
 			}
-			b.poll("w0", sched.Report{Finished: []sched.Finished{finished(1, first, sched.EndStopped)}})
-			again := b.plan(sched.VerbStart)
-			if len(again) != 1 || again[0].Life.ID != "w1" {
+			b.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRow(1, first, sched.EndStopped)}})
+			again := b.planOrders(sched.VerbStart)
+			if len(again) != 1 || again[0].Incarnation.ID != "w1" {
 				t.Errorf("begun anew: %v", again)
 			}
 		})
--- a/internal/batch/sched/reserve_test.go
+++ b/internal/batch/sched/reserve_test.go
@@ -12,9 +12,9 @@
 
 // A feed whose worker is gone finds no place though its like leave room for it: smaller tasks take all that is freed
 // there, bit by bit. Tasks that end have to make way, and on no more workers than are needed.
-func TestSmallTasksMakeWay(t *testing.T) {
+func TestReservationForLargeTask(t *testing.T) {
 	small := sched.Step{Count: 1, Size: wire.Size{CPU: 4000, Mem: 4000}, Estimate: time.Second}
-	filling := sched.Step{Count: 1, Size: wire.Size{CPU: 1000, Mem: 16000}, Estimate: time.Second, Fills: true, Image: "f"}
+	filling := sched.Step{Count: 1, Size: wire.Size{CPU: 1000, Mem: 16000}, Estimate: time.Second, BestEffort: true, Image: "f"}
 	for _, tt := range []struct {
 		name  string
 		size  wire.Size // of a feed's task
@@ -32,45 +32,45 @@
 				every   = 50 * time.Millisecond // more than fit
 				most    = 3 * time.Second
 			)
-			b := newBench(t, 1, workers).open()
-			runs := newEndingRuns(b)
+			b := newHarness(t, 1, workers).openWorkers()
+			runs := newTimedRuns(b)
 			var began time.Time
 			feeds := map[string]string{} // the worker of each
 			starts := map[string]int{}   // of other tasks, while feeds wait
 			for n := 0; len(feeds) < tt.feeds; n++ {
-				now := b.now.Sub(start())
+				now := b.now.Sub(epoch())
 				if n%int(every/step) == 0 {
-					b.core.Admit(b.now, one(fmt.Sprintf("j%d", n), func(j *sched.Job) {
+					b.core.AddJob(b.now, oneTaskJob(fmt.Sprintf("j%d", n), func(j *sched.Job) {
 						j.Steps[0] = tt.other
-						j.At = b.now
+						j.AcceptedAt = b.now
 					}))
 				}
 				if began.IsZero() && now > 2*time.Second {
 					began = b.now
 					for i := range tt.feeds {
-						b.core.Admit(b.now, one(fmt.Sprintf("feed%d", i), func(j *sched.Job) {
-							j.Steps[0].Lasting, j.Steps[0].Size = true, tt.size
-							j.At = b.now
+						b.core.AddJob(b.now, oneTaskJob(fmt.Sprintf("feed%d", i), func(j *sched.Job) {
+							j.Steps[0].LongRunning, j.Steps[0].Size = true, tt.size
+							j.AcceptedAt = b.now
 						}))
 					}
 				}
 				if !began.IsZero() && b.now.Sub(began) > most {
 					t.Fatalf("%d of %d feeds have begun after %v", len(feeds), tt.feeds, most)
 				}
-				for _, o := range b.plan(sched.VerbStart) {
+				for _, o := range b.planOrders(sched.VerbStart) {
 					lasts := time.Second
 					switch {
 					case strings.HasPrefix(o.Task.Job, "feed"):
-						feeds[o.Task.Job] = o.Life.ID
+						feeds[o.Task.Job] = o.Incarnation.ID
 						lasts = time.Hour
 					case !began.IsZero():
-						starts[o.Life.ID]++
+						starts[o.Incarnation.ID]++
 					}
 					runs.start(o, lasts)
 				}
 				runs.poll(func() bool { return now%time.Second < step })
-				b.store()
-				b.after(step)
+				b.storeChanges()
+				b.advance(step)
 			}
 			for _, id := range feeds {
 				delete(starts, id)
--- a/internal/batch/sched/changes_test.go
+++ b/internal/batch/sched/storequeue_test.go
@@ -19,21 +19,21 @@
 		pending int
 	}{
 		{"never left", sched.OutcomeUnsent, false, 1},
-		{"no room", sched.OutcomeRoom, false, 1},
+		{"no room", sched.OutcomeNoResources, false, 1},
 		{"no answer", sched.OutcomeUnknown, false, 1},
 		{"no answer, and shown", sched.OutcomeUnknown, true, 0},
 		{"taken", sched.OutcomeDone, false, 0},
-		{"ended there before", sched.OutcomeOld, false, 0},
+		{"ended there before", sched.OutcomeRunEnded, false, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t, 1, 1).open()
-			b.core.Admit(b.now, one("j", nil))
+			b := newHarness(t, 1, 1).openWorkers()
+			b.core.AddJob(b.now, oneTaskJob("j", nil))
 			o := b.core.Plan(b.now)[0]
-			b.core.Answer(b.now, o, tt.out)
+			b.core.HandleOutcome(b.now, o, tt.out)
 			if tt.shown {
-				b.poll("w0", sched.Report{Running: []sched.Running{running(o)}})
+				b.poll("w0", sched.Report{Running: []sched.RunStatus{runningRow(o)}})
 			}
-			if got := b.core.Pending("q"); got != tt.pending {
+			if got := b.core.PendingJobs("q"); got != tt.pending {
 				t.Errorf("%d wait, want %d", got, tt.pending)
 			}
 		})
@@ -44,45 +44,45 @@
 // only once nothing at all was left to store: for as long as that lasted every poll told
 // all ends anew, and the holder had no time left for its work. An end is acknowledged as soon as its own job is stored.
 func TestAcksDontWaitForAll(t *testing.T) {
-	b := newBench(t, 1, 2).open()
-	b.core.Admit(b.now, one("a", func(j *sched.Job) { j.Steps[0].Label = "w0" }))
+	b := newHarness(t, 1, 2).openWorkers()
+	b.core.AddJob(b.now, oneTaskJob("a", func(j *sched.Job) { j.Steps[0].RequiredLabel = "w0" }))
 	for i := range 10 {
-		b.core.Admit(b.now, one(fmt.Sprintf("z%d", i), func(j *sched.Job) { j.Steps[0].Label = "w1" }))
+		b.core.AddJob(b.now, oneTaskJob(fmt.Sprintf("z%d", i), func(j *sched.Job) { j.Steps[0].RequiredLabel = "w1" }))
 	}
-	var ends []sched.Finished
-	for _, o := range b.plan(sched.VerbStart) {
-		if o.Life.ID == "w0" {
-			b.poll("w0", sched.Report{Finished: []sched.Finished{finished(1, o, sched.EndDone)}})
+	var ends []sched.FinishedRun
+	for _, o := range b.planOrders(sched.VerbStart) {
+		if o.Incarnation.ID == "w0" {
+			b.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
 			continue
 		}
-		ends = append(ends, finished(int64(len(ends)+1), o, sched.EndDone))
+		ends = append(ends, finishedRow(int64(len(ends)+1), o, sched.EndDone))
 	}
 	b.poll("w1", sched.Report{Finished: ends})
 	for i, want := range []int64{1, 6} {
-		batch, err := b.core.Collect(2 + 3*i)
+		batch, err := b.core.CollectChanges(2 + 3*i)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if l, _ := b.core.Poll(b.now, "w1"); i == 0 && l.Acked != 0 {
-			t.Errorf("ends of w1 up to %d are acknowledged, and none is stored", l.Acked)
+		if l, _ := b.core.NextPoll(b.now, "w1"); i == 0 && l.AckedSeq != 0 {
+			t.Errorf("ends of w1 up to %d are acknowledged, and none is stored", l.AckedSeq)
 		}
-		b.core.Committed(batch)
+		b.core.MarkCommitted(batch)
 		id := fmt.Sprintf("w%d", i)
-		if l, _ := b.core.Poll(b.now, id); l.Acked != want {
-			t.Errorf("ends of %s up to %d are acknowledged, want %d", id, l.Acked, want)
+		if l, _ := b.core.NextPoll(b.now, id); l.AckedSeq != want {
+			t.Errorf("ends of %s up to %d are acknowledged, want %d", id, l.AckedSeq, want)
 		}
 	}
 }
 
 // A worker tells an end with each poll until it is acknowledged. It is news once: logged and counted each time, it
 // buries in the log what an engineer looks for, and takes the holder's time when it has least.
-func TestEndIsNewsOnce(t *testing.T) {
-	b := newBench(t, 1, 1).open()
-	b.core.Admit(b.now, one("j", nil))
-	end := finished(1, b.plan(sched.VerbStart)[0], sched.EndDone)
+func TestEndReportedOnce(t *testing.T) {
+	b := newHarness(t, 1, 1).openWorkers()
+	b.core.AddJob(b.now, oneTaskJob("j", nil))
+	end := finishedRow(1, b.planOrders(sched.VerbStart)[0], sched.EndDone)
 	for _, want := range []int{1, 0, 0} {
-		b.after(time.Millisecond)
-		got := b.core.Hear(b.now, b.now, "w0", sched.Report{Born: 1, Clock: b.now.Sub(start()), Finished: []sched.Finished{end}})
+		b.advance(time.Millisecond)
+		got := b.core.HandleReport(b.now, b.now, "w0", sched.Report{StartedAt: 1, Clock: b.now.Sub(epoch()), Finished: []sched.FinishedRun{end}})
 		if len(got) != want {
 			t.Errorf("news: %v, want %d", got, want)
 		}
@@ -93,23 +93,23 @@
 // stored again and again, the others never, and a cancel was not acknowledged for as long as that lasted: its caller
 // gave up, and the next holder, which knew of no cancel, started the job.
 func TestChangesAreStoredInTurn(t *testing.T) {
-	b := newBench(t, 1, 2).open()
+	b := newHarness(t, 1, 2).openWorkers()
 	for _, id := range []string{"a", "b", "c", "d"} {
-		b.core.Admit(b.now, one(id, func(j *sched.Job) { j.Steps[0].Lasting = true }))
+		b.core.AddJob(b.now, oneTaskJob(id, func(j *sched.Job) { j.Steps[0].LongRunning = true }))
 	}
 	fail := func(seq int64) {
-		for _, o := range b.plan(sched.VerbStart) {
-			b.poll(o.Life.ID, sched.Report{Finished: []sched.Finished{finished(seq, o, sched.EndFailed)}})
+		for _, o := range b.planOrders(sched.VerbStart) {
+			b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(seq, o, sched.EndFailed)}})
 			seq++
 		}
 	}
 	fail(1)
 	collect := func() string {
-		batch, err := b.core.Collect(1)
+		batch, err := b.core.CollectChanges(1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.core.Committed(batch)
+		b.core.MarkCommitted(batch)
 		if len(batch.Records) != 1 {
 			t.Fatalf("%d records collected, want one", len(batch.Records))
 		}
@@ -119,7 +119,7 @@
 	got = append(got, collect())
 	fail(5) // all of them change once more
 	got = append(got, collect())
-	b.core.Cancel(b.now, "d")
+	b.core.CancelJob(b.now, "d")
 	got = append(got, collect(), collect())
 	if want := []string{"a", "b", "d", "c"}; !slices.Equal(got, want) {
 		t.Errorf("stored in the order %v, want %v", got, want)
--- a/internal/batch/sched/straggler_test.go
+++ b/internal/batch/sched/straggler_test.go
@@ -22,44 +22,44 @@
 		{"saved, a fifth of the speed", 60, true, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t, 1, 2).open()
-			b.core.Admit(b.now, one("j", func(j *sched.Job) {
-				j.Steps[0].Count, j.Steps[0].Saves = 4, tt.saves
+			b := newHarness(t, 1, 2).openWorkers()
+			b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) {
+				j.Steps[0].Count, j.Steps[0].Checkpointed = 4, tt.saves
 			}))
-			orders := b.plan(sched.VerbStart)
+			orders := b.planOrders(sched.VerbStart)
 			if len(orders) != 4 {
 				t.Fatalf("%d starts, want 4", len(orders))
 			}
 			slow := orders[0]
-			b.after(time.Second)
-			ends := map[string][]sched.Finished{}
+			b.advance(time.Second)
+			ends := map[string][]sched.FinishedRun{}
 			for _, o := range orders[1:] {
-				id := o.Life.ID
-				ends[id] = append(ends[id], finished(int64(len(ends[id])+1), o, sched.EndDone))
+				id := o.Incarnation.ID
+				ends[id] = append(ends[id], finishedRow(int64(len(ends[id])+1), o, sched.EndDone))
 			}
-			row := running(slow)
-			row.Part = tt.part
+			row := runningRow(slow)
+			row.Progress = tt.part
 			for range 4 {
 				for _, id := range []string{"w0", "w1"} {
 					rep := sched.Report{Finished: ends[id]}
-					if id == slow.Life.ID {
-						rep.Running = []sched.Running{row}
+					if id == slow.Incarnation.ID {
+						rep.Running = []sched.RunStatus{row}
 					}
 					b.poll(id, rep)
 				}
-				b.after(500 * time.Millisecond)
+				b.advance(500 * time.Millisecond)
 			}
-			stops := b.plan(sched.VerbStop)
+			stops := b.planOrders(sched.VerbStop)
 			if got := len(stops) == 1 && stops[0].Task == slow.Task; got != tt.want {
 				t.Fatalf("stopped %v, want it %v", stops, tt.want)
 			}
 			if !tt.want {
 				return
 			}
-			b.poll(slow.Life.ID, sched.Report{Finished: append(ends[slow.Life.ID], finished(int64(len(ends[slow.Life.ID])+1), slow, sched.EndStopped))})
-			starts := b.plan(sched.VerbStart)
-			if len(starts) != 1 || starts[0].Life.ID != other(slow) {
-				t.Errorf("begun anew by %v, want one start on %s", starts, other(slow))
+			b.poll(slow.Incarnation.ID, sched.Report{Finished: append(ends[slow.Incarnation.ID], finishedRow(int64(len(ends[slow.Incarnation.ID])+1), slow, sched.EndStopped))})
+			starts := b.planOrders(sched.VerbStart)
+			if len(starts) != 1 || starts[0].Incarnation.ID != otherWorker(slow) {
+				t.Errorf("begun anew by %v, want one start on %s", starts, otherWorker(slow))
 			}
 		})
 	}
--- /dev/null
+++ b/internal/batch/sched/unplaced_test.go
@@ -0,0 +1,47 @@
+package sched_test
+
+import (
+	"testing"
+	"time"
+
+	"bramleysail.example/bramleysail/internal/batch/sched"
+	"bramleysail.example/bramleysail/internal/batch/wire"
+)
+
+// A check-in is late because the only worker with room drains. Whoever looks for the reason finds a
+// line that says so each time its wait has doubled, not one for each plan.
+func TestUnplacedSteps(t *testing.T) {
+	b := newHarness(t, 1, 3).openWorkers()
+	all := members(3)
+	all[0].Draining = true
+	b.core.UpdateDirectory(b.now, all)
+	for _, id := range []string{"w1", "w2"} {
+		b.core.AddJob(b.now, oneTaskJob("big-"+id, func(j *sched.Job) { j.Steps[0].Size, j.Steps[0].RequiredLabel = wire.Size{CPU: 15500, Mem: 1000}, id }))
+	}
+	reports := map[string]sched.Report{"w0": {}}
+	for _, o := range b.planOrders(sched.VerbStart) {
+		reports[o.Incarnation.ID] = sched.Report{Running: []sched.RunStatus{runningRow(o)}}
+	}
+	b.core.AddJob(b.now, oneTaskJob("late", nil))
+	var told []sched.UnplacedStep
+	for range 75 {
+		b.advance(100 * time.Millisecond)
+		for _, m := range all {
+			b.poll(m.ID, reports[m.ID])
+		}
+		b.planOrders(sched.VerbStart)
+		told = append(told, b.core.TakeUnplacedSteps()...)
+	}
+	if len(told) != 3 {
+		t.Fatalf("told %d times: %+v", len(told), told)
+	}
+	for i, w := range told {
+		if least := time.Second << i; w.Waited < least || w.Waited >= least+time.Second {
+			t.Errorf("told after %s, want %s", w.Waited, least)
+		}
+		w.Waited = 0
+		if want := (sched.UnplacedStep{Job: "late", Tasks: 1, Workers: 3, Unavailable: 1, NoResources: 2}); w != want {
+			t.Errorf("told %+v, want %+v", w, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/batch/sched/waitqueue_test.go
@@ -0,0 +1,54 @@
+package sched_test
+
+import (
+	"testing"
+	"time"
+
+	"bramleysail.example/bramleysail/internal/batch/sched"
+)
+
+// The worker of a feed is gone while all others are full, and new feeds come in. Its job's due time is long over: with
+// that for its turn, the feed stood still until all that had come after it ran.
+func TestLongestWaitingRestartFirst(t *testing.T) {
+	feed := func(id string, at time.Time) *sched.Job {
+		return oneTaskJob(id, func(j *sched.Job) {
+			j.Steps[0].LongRunning, j.Steps[0].Size.CPU = true, 16000
+			j.AcceptedAt, j.DeadlineBase, j.StretchFactor = at, time.Second, 1.5
+		})
+	}
+	b := newHarness(t, 1, 2).openWorkers()
+	b.core.AddJob(b.now, feed("old", b.now))
+	b.core.AddJob(b.now, feed("beside", b.now))
+	workers := map[string]sched.Order{}
+	for _, o := range b.planOrders(sched.VerbStart) {
+		workers[o.Task.Job] = o
+	}
+	old, beside := workers["old"], workers["beside"]
+	for range 20 {
+		b.advance(time.Second)
+		for _, o := range workers {
+			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runningRow(o)}})
+		}
+	}
+	var all []sched.Member
+	for _, m := range members(2) {
+		if m.ID != old.Incarnation.ID {
+			all = append(all, m)
+		}
+	}
+	b.core.UpdateDirectory(b.now, all)
+	b.poll(old.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, old, sched.EndStopped)}})
+	b.planOrders(sched.VerbStart)
+	for _, id := range []string{"new0", "new1"} {
+		b.advance(500 * time.Millisecond)
+		b.core.AddJob(b.now, feed(id, b.now))
+		b.planOrders(sched.VerbStart)
+	}
+	b.core.CancelJob(b.now, "beside")
+	b.planOrders(sched.VerbStop)
+	b.poll(beside.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, beside, sched.EndStopped)}})
+	got := b.planOrders(sched.VerbStart)
+	if len(got) != 1 || got[0].Task.Job != "old" {
+		t.Errorf("room for one goes to %v, want old, which has waited longest", got)
+	}
+}
--- a/internal/fake/crew/crew.go
+++ b/internal/fake/crew/crew.go
@@ -33,7 +33,7 @@
 	fence  int64
 	until  time.Duration
 	runs   map[string]*run
-	ends   []sched.Finished
+	ends   []sched.FinishedRun
 	seq    int64
 	stale  int64 // ends up to here are from before a lapse: acknowledging them says nothing
 	newest map[string]int64
@@ -53,7 +53,7 @@
 	c := &Crew{workers: map[string]*worker{}, work: work, rng: rng, noted: map[string]bool{}, starts: map[string]int{}}
 	for i := range n {
 		m := sched.Member{
-			Life: sched.Life{ID: fmt.Sprintf("w%d", i), Born: 1}, Service: "s", Addr: fmt.Sprintf("w%d", i),
+			Incarnation: sched.Incarnation{ID: fmt.Sprintf("w%d", i), StartedAt: 1}, Service: "s", Addr: fmt.Sprintf("w%d", i),
 			Zone: fmt.Sprintf("z%d", i%3), Rack: fmt.Sprintf("r%d", i/4), Size: size,
 		}
 		c.workers[m.ID] = &worker{Member: m, began: time.Now(), runs: map[string]*run{}, newest: map[string]int64{}, woken: make(chan struct{})}
@@ -97,7 +97,7 @@
 	for _, r := range w.runs {
 		r.timer.Stop()
 	}
-	w.Born++
+	w.StartedAt++
 	w.began = time.Now()
 	w.fence, w.until, w.seq, w.stale = 0, 0, 0, 0
 	w.runs, w.newest, w.ends = map[string]*run{}, map[string]int64{}, nil
@@ -143,7 +143,7 @@
 	}
 	for _, r := range w.runs {
 		c.lapsed++
-		c.end(w, r, sched.EndLapsed)
+		c.end(w, r, sched.EndLeaseExpired)
 	}
 }
 
@@ -151,7 +151,7 @@
 	r.timer.Stop()
 	delete(w.runs, r.task)
 	w.seq++
-	w.ends = append(w.ends, sched.Finished{Seq: w.seq, Task: r.task, Run: r.run, How: how})
+	w.ends = append(w.ends, sched.FinishedRun{Seq: w.seq, Task: r.task, Run: r.run, End: how})
 	w.wake()
 }
 
@@ -192,7 +192,7 @@
 }
 
 // Poll implements drive.WorkerClient.
-func (v *View) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
+func (v *View) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
 	if v.lost(l.ID) {
 		wait.For(ctx, unanswered)
 		return sched.Report{}, sched.OutcomeUnknown
@@ -207,7 +207,7 @@
 
 // Order implements drive.WorkerClient.
 func (v *View) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
-	if v.lost(o.Life.ID) {
+	if v.lost(o.Incarnation.ID) {
 		wait.For(ctx, unanswered)
 		return sched.OutcomeUnknown
 	}
@@ -215,7 +215,7 @@
 }
 
 // Poll implements drive.WorkerClient.
-func (c *Crew) Poll(ctx context.Context, l sched.Poll, fence int64) (sched.Report, sched.Outcome) {
+func (c *Crew) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
 	if !wait.For(ctx, travel) {
 		return sched.Report{}, sched.OutcomeUnknown
 	}
@@ -232,11 +232,11 @@
 		c.lapse(w)
 		if fence < w.fence {
 			c.mu.Unlock()
-			return sched.Report{}, sched.OutcomeFence
+			return sched.Report{}, sched.OutcomeFenced
 		}
 		w.fence = fence
 		if first {
-			w.renew(l.Until)
+			w.renew(l.LeaseUntil)
 			c.forget(w, l)
 			first = false
 		}
@@ -261,17 +261,17 @@
 }
 
 // forget takes note of the ends that a poll acknowledges.
-func (c *Crew) forget(w *worker, l sched.Poll) {
-	if l.Born != 0 && l.Born != w.Born {
+func (c *Crew) forget(w *worker, l sched.PollRequest) {
+	if l.StartedAt != 0 && l.StartedAt != w.StartedAt {
 		return
 	}
-	var rest []sched.Finished
+	var rest []sched.FinishedRun
 	for _, f := range w.ends {
-		if f.Seq > l.Acked {
+		if f.Seq > l.AckedSeq {
 			rest = append(rest, f)
 			continue
 		}
-		if f.How == sched.EndDone && f.Seq > w.stale {
+		if f.End == sched.EndDone && f.Seq > w.stale {
 			c.noted[f.Task] = true
 		}
 	}
@@ -279,9 +279,9 @@
 }
 
 func (w *worker) report() sched.Report {
-	rep := sched.Report{Born: w.Born, Clock: w.clock(), Finished: append([]sched.Finished(nil), w.ends...)}
+	rep := sched.Report{StartedAt: w.StartedAt, Clock: w.clock(), Finished: append([]sched.FinishedRun(nil), w.ends...)}
 	for _, r := range w.runs {
-		rep.Running = append(rep.Running, sched.Running{Task: r.task, Run: r.run, Part: 50})
+		rep.Running = append(rep.Running, sched.RunStatus{Task: r.task, Run: r.run, Progress: 50})
 	}
 	return rep
 }
@@ -292,7 +292,7 @@
 		return sched.OutcomeUnknown
 	}
 	c.mu.Lock()
-	w := c.workers[o.Life.ID]
+	w := c.workers[o.Incarnation.ID]
 	if w == nil || w.dark {
 		c.mu.Unlock()
 		wait.For(ctx, unanswered)
@@ -300,11 +300,11 @@
 	}
 	if c.rng.Float64() < c.late {
 		after := 2*time.Second + time.Duration(c.rng.Int64N(int64(10*time.Second)))
-		born := w.Born
+		born := w.StartedAt
 		time.AfterFunc(after, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if w.Born == born {
+			if w.StartedAt == born {
 				c.carry(w, o, fence)
 			}
 		})
@@ -321,7 +321,7 @@
 func (c *Crew) carry(w *worker, o sched.Order, fence int64) sched.Outcome {
 	c.lapse(w)
 	if fence < w.fence {
-		return sched.OutcomeFence
+		return sched.OutcomeFenced
 	}
 	w.fence = fence
 	name := o.Task.String()
@@ -333,19 +333,19 @@
 			c.end(w, r, sched.EndStopped)
 		}
 		return sched.OutcomeDone
-	case sched.VerbPace:
+	case sched.VerbThrottle:
 		return sched.OutcomeDone
 	}
 	if r != nil && r.run == o.Run {
 		return sched.OutcomeDone
 	}
 	if o.Run <= w.newest[name] || r != nil {
-		return sched.OutcomeOld
+		return sched.OutcomeRunEnded
 	}
-	if w.clock() > o.Until {
-		return sched.OutcomeLate
+	if w.clock() > o.LeaseUntil {
+		return sched.OutcomeExpired
 	}
-	w.renew(o.Until)
+	w.renew(o.LeaseUntil)
 	w.newest[name] = o.Run
 	c.start(w, name, o.Run)
 	return sched.OutcomeDone
--- a/internal/model/trace/trace.go
+++ b/internal/model/trace/trace.go
@@ -130,7 +130,7 @@
 func (k *Kind) draw(rng *rand.Rand, start time.Time, at time.Duration, n int) *Job {
 	id := fmt.Sprintf("%s-%d", k.Name, n)
 	j := &Job{Kind: k, At: at, Job: &sched.Job{
-		ID: id, Queue: k.Name, Service: Service, Spec: id, Priority: k.Priority, Tries: 3, Stretch: k.Stretch, Aim: k.Aim, At: start.Add(at),
+		ID: id, Queue: k.Name, Service: Service, Spec: id, Priority: k.Priority, MaxAttempts: 3, StretchFactor: k.Stretch, DeadlineBase: k.Aim, AcceptedAt: start.Add(at),
 	}}
 	saves, apart := rng.Float64() < k.Saves, rng.Float64() < k.Apart
 	image := ""
@@ -143,14 +143,14 @@
 		size := wire.Size{CPU: int(k.CPU.draw(rng)), Mem: int(k.Mem.draw(rng))}
 		mean := k.Work.draw(rng)
 		s := sched.Step{
-			Count: count, Size: size, Saves: saves, Fills: k.Fills, Lasting: k.Lasting, Image: image, Target: k.Target,
+			Count: count, Size: size, Checkpointed: saves, BestEffort: k.Fills, LongRunning: k.Lasting, Image: image, TailTarget: k.Target,
 			Estimate: time.Duration(mean * math.Exp(k.Off*rng.NormFloat64()) * float64(time.Second)),
 		}
 		if apart {
-			s.Apart = 1 + rng.IntN(2)
+			s.MaxPerWorker = 1 + rng.IntN(2)
 		}
 		if i > 0 {
-			s.After = []int{i - 1}
+			s.DependsOn = []int{i - 1}
 		}
 		tasks, fails := make([]time.Duration, count), make([]int, count)
 		for t := range tasks {
--- a/internal/model/trial/first.go
+++ b/internal/model/trial/first.go
@@ -39,7 +39,7 @@
 
 func (f *first) Join(_ time.Time, members []sched.Member) {
 	for _, m := range f.members {
-		if !slices.ContainsFunc(members, func(n sched.Member) bool { return n.Life == m.Life }) {
+		if !slices.ContainsFunc(members, func(n sched.Member) bool { return n.Incarnation == m.Incarnation }) {
 			f.lose(m.ID)
 		}
 	}
@@ -60,7 +60,7 @@
 	f.used[id], f.busy[id], f.acked[id] = wire.Size{}, 0, 0
 }
 
-func (f *first) Missed(time.Time, sched.Life) {}
+func (f *first) Missed(time.Time, sched.Incarnation) {}
 
 func (f *first) Admit(_ time.Time, j *sched.Job) {
 	fj := &firstJob{Job: j}
@@ -76,14 +76,14 @@
 
 func (f *first) Hear(_, _ time.Time, id string, rep sched.Report) {
 	for _, e := range rep.Finished {
-		t, err := sched.ParseTask(e.Task)
+		t, err := sched.ParseTaskID(e.Task)
 		if e.Seq <= f.acked[id] || err != nil {
 			continue
 		}
 		f.acked[id] = e.Seq
 		j := f.byID[t.Job]
 		f.count(id, &j.Steps[t.Step], -1)
-		if e.How == sched.EndDone {
+		if e.End == sched.EndDone {
 			j.state[t.Step][t.Index] = ""
 			j.left[t.Step]--
 		} else {
@@ -95,11 +95,11 @@
 func (f *first) count(id string, s *sched.Step, sign int) {
 	u := f.used[id]
 	use := s.Size.CPU
-	if s.Lasting {
+	if s.LongRunning {
 		use = int(lastingUse * float64(use))
 	}
 	f.busy[id] += sign * use
-	if !s.Fills {
+	if !s.BestEffort {
 		u.CPU += sign * s.Size.CPU
 	}
 	u.Mem += sign * s.Size.Mem
@@ -108,7 +108,7 @@
 
 func (f *first) fits(m sched.Member, s *sched.Step) bool {
 	z := s.Size
-	if s.Fills {
+	if s.BestEffort {
 		z.CPU = 0
 		if f.busy[m.ID]+s.Size.CPU > m.Size.CPU {
 			return false
@@ -130,7 +130,7 @@
 }
 
 func (j *firstJob) ready(i int) bool {
-	for _, a := range j.Steps[i].After {
+	for _, a := range j.Steps[i].DependsOn {
 		if j.left[a] > 0 {
 			return false
 		}
@@ -145,14 +145,14 @@
 			continue
 		}
 		for _, m := range f.members {
-			if !f.fits(m, s) || s.Apart > 0 && j.on(i, m.ID) >= s.Apart {
+			if !f.fits(m, s) || s.MaxPerWorker > 0 && j.on(i, m.ID) >= s.MaxPerWorker {
 				continue
 			}
 			f.runs++
 			f.count(m.ID, s, 1)
 			j.state[i][t] = m.ID
 			id := sched.TaskID{Job: j.ID, Step: i, Index: t}
-			orders = append(orders, sched.Order{Verb: sched.VerbStart, Life: m.Life, Task: id, Run: f.runs})
+			orders = append(orders, sched.Order{Verb: sched.VerbStart, Incarnation: m.Incarnation, Task: id, Run: f.runs})
 			break
 		}
 	}
@@ -172,10 +172,10 @@
 func (f *first) Answer(_ time.Time, o sched.Order, out sched.Outcome) {
 	if o.Verb == sched.VerbStart && out != sched.OutcomeDone {
 		j := f.byID[o.Task.Job]
-		if j.state[o.Task.Step][o.Task.Index] != o.Life.ID {
+		if j.state[o.Task.Step][o.Task.Index] != o.Incarnation.ID {
 			return // lost with its worker
 		}
-		f.count(o.Life.ID, &j.Steps[o.Task.Step], -1)
+		f.count(o.Incarnation.ID, &j.Steps[o.Task.Step], -1)
 		delete(j.state[o.Task.Step], o.Task.Index)
 	}
 }
--- a/internal/model/trial/play.go
+++ b/internal/model/trial/play.go
@@ -135,7 +135,7 @@
 	p.policy.Join(start, p.world.Members())
 	p.polls = make([]poll, len(p.world.Workers))
 	for i := range p.polls {
-		p.polls[i] = poll{sent: start, until: start, born: p.world.Workers[i].Member.Born}
+		p.polls[i] = poll{sent: start, until: start, born: p.world.Workers[i].Member.StartedAt}
 	}
 	end := start.Add(d.Length + tailing)
 	planned := start
@@ -208,12 +208,12 @@
 			continue
 		}
 		if k.Away() {
-			p.policy.Missed(now, k.Member.Life)
+			p.policy.Missed(now, k.Member.Incarnation)
 			*l = poll{sent: now, until: now.Add(planEvery)}
 			continue
 		}
-		if k.Member.Born != l.born { // the poll under way was one of the former life
-			*l = poll{sent: now, born: k.Member.Born}
+		if k.Member.StartedAt != l.born { // the poll under way was one of the former life
+			*l = poll{sent: now, born: k.Member.StartedAt}
 		}
 		p.policy.Hear(l.sent, now, k.Member.ID, p.world.Report(now, k, l.acked))
 		p.kick = true
@@ -250,7 +250,7 @@
 	working, over, blamed := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, k := range p.world.Workers {
 		for _, t := range k.Tasks {
-			if !t.Step.Lasting || !t.Ready(now) {
+			if !t.Step.LongRunning || !t.Ready(now) {
 				continue
 			}
 			working[t.ID.Job]++
--- a/internal/model/trial/policy.go
+++ b/internal/model/trial/policy.go
@@ -15,7 +15,7 @@
 	// Poll returns how long to wait for an end, and up to which end the worker may forget.
 	Poll(now time.Time, id string) (wait time.Duration, acked int64)
 	// Missed tells that a poll of a worker was not answered.
-	Missed(now time.Time, worker sched.Life)
+	Missed(now time.Time, worker sched.Incarnation)
 	Hear(sent, now time.Time, id string, rep sched.Report)
 	Plan(now time.Time) []sched.Order
 	Answer(now time.Time, o sched.Order, out sched.Outcome)
@@ -38,31 +38,33 @@
 )
 
 func newProduct(now time.Time) Policy {
-	return &product{sched.New(sched.Options{Lease: coreLease, Stop: coreStop, Sure: always, Term: 1}, now)}
+	return &product{sched.New(sched.Options{WorkerLease: coreLease, MaxStopTime: coreStop, MaxUnconfirmed: always, Term: 1}, now)}
 }
 
 func (p *product) Join(now time.Time, members []sched.Member) {
-	p.core.Roster(now, members)
-	p.core.TrackedStored(p.core.Tracked())
+	p.core.UpdateDirectory(now, members)
+	p.core.MarkTracked(p.core.TrackedWorkers())
 }
 
-func (p *product) Admit(now time.Time, j *sched.Job) { p.core.Admit(now, j) }
+func (p *product) Admit(now time.Time, j *sched.Job) { p.core.AddJob(now, j) }
 
 func (p *product) Poll(now time.Time, id string) (time.Duration, int64) {
-	p.core.Confirm(now)
-	l, _ := p.core.Poll(now, id)
-	return l.Wait, l.Acked
+	p.core.ConfirmHolder(now)
+	l, _ := p.core.NextPoll(now, id)
+	return l.Wait, l.AckedSeq
 }
 
-func (p *product) Missed(now time.Time, w sched.Life) { p.core.Missed(now, w.ID, w.Born) }
+func (p *product) Missed(now time.Time, w sched.Incarnation) {
+	p.core.PollFailed(now, w.ID, w.StartedAt)
+}
 
 func (p *product) Hear(sent, now time.Time, id string, rep sched.Report) {
-	p.core.Hear(sent, now, id, rep)
+	p.core.HandleReport(sent, now, id, rep)
 	p.store()
 }
 
 func (p *product) Plan(now time.Time) []sched.Order {
-	p.core.Confirm(now)
+	p.core.ConfirmHolder(now)
 	orders := p.core.Plan(now)
 	p.store()
 	return orders
@@ -70,23 +72,23 @@
 
 // store has everything that has changed counted as stored.
 func (p *product) store() {
-	b, err := p.core.Collect(int(^uint(0) >> 1))
+	b, err := p.core.CollectChanges(int(^uint(0) >> 1))
 	if err != nil {
 		panic(errors.Wrap(err, "trial: a job's progress can always be encoded"))
 	}
-	p.core.Committed(b)
+	p.core.MarkCommitted(b)
 }
 
 func (p *product) Answer(now time.Time, o sched.Order, out sched.Outcome) {
-	p.core.Answer(now, o, out)
+	p.core.HandleOutcome(now, o, out)
 }
 
 func (p *product) Completed(id string) bool {
-	s, _ := p.core.State(id)
+	s, _ := p.core.JobState(id)
 	return s == sched.StateCompleted
 }
 
 func (p *product) Failed(id string) bool {
-	s, _ := p.core.State(id)
+	s, _ := p.core.JobState(id)
 	return s == sched.StateFailed
 }
--- a/internal/model/world/fault.go
+++ b/internal/model/world/fault.go
@@ -41,7 +41,7 @@
 			w.lose(k)
 		case !away[i] && k.away:
 			k.away, k.born = false, now
-			k.Member.Born++
+			k.Member.StartedAt++
 		default:
 			continue
 		}
@@ -53,7 +53,7 @@
 // lose drops a worker with all that runs there.
 func (w *World) lose(k *Worker) {
 	for _, t := range k.Tasks {
-		if !t.Step.Lasting {
+		if !t.Step.LongRunning {
 			w.Wasted += t.done.Seconds() * float64(t.Step.Size.CPU) / 1000
 		}
 	}
--- a/internal/model/world/fault_test.go
+++ b/internal/model/world/fault_test.go
@@ -34,7 +34,7 @@
 			faults := []trace.Fault{{Kind: tt.kind, At: world.Tick, For: 3 * time.Second, Factor: 5}}
 			w := world.New(d, start, []*trace.Job{job}, faults, 1)
 			k := w.Workers[0]
-			order := sched.Order{Verb: sched.VerbStart, Life: k.Member.Life, Task: sched.TaskID{Job: "j"}, Run: 1}
+			order := sched.Order{Verb: sched.VerbStart, Incarnation: k.Member.Incarnation, Task: sched.TaskID{Job: "j"}, Run: 1}
 			begin := func(now time.Time) {
 				if out := w.Do(now, order); out != sched.OutcomeDone {
 					t.Fatalf("start: %s", out)
@@ -53,19 +53,19 @@
 					continue
 				}
 				f := w.Report(now, k, 0).Finished[0]
-				if f.How != tt.how || (at-tt.after).Abs() > 2*world.Tick {
-					t.Errorf("ended as %s after %s, want %s after %s", f.How, at, tt.how, tt.after)
+				if f.End != tt.how || (at-tt.after).Abs() > 2*world.Tick {
+					t.Errorf("ended as %s after %s, want %s after %s", f.End, at, tt.how, tt.after)
 				}
 				return
 			}
 			if tt.after != 0 {
 				t.Fatal("the task hasn't ended")
 			}
-			if k.Away() || len(k.Tasks) != 0 || k.Member.Born != 2 {
-				t.Errorf("away %v with %d tasks in life %d, want none in life 2", k.Away(), len(k.Tasks), k.Member.Born)
+			if k.Away() || len(k.Tasks) != 0 || k.Member.StartedAt != 2 {
+				t.Errorf("away %v with %d tasks in life %d, want none in life 2", k.Away(), len(k.Tasks), k.Member.StartedAt)
 			}
-			if out := w.Do(start.Add(7*time.Second), order); out != sched.OutcomeGone {
-				t.Errorf("an order to the former life: %s, want %s", out, sched.OutcomeGone)
+			if out := w.Do(start.Add(7*time.Second), order); out != sched.OutcomeOtherIncarnation {
+				t.Errorf("an order to the former life: %s, want %s", out, sched.OutcomeOtherIncarnation)
 			}
 		})
 	}
--- a/internal/model/world/world.go
+++ b/internal/model/world/world.go
@@ -70,7 +70,7 @@
 type Worker struct {
 	Member sched.Member
 	Tasks  []*Task
-	ends   []sched.Finished
+	ends   []sched.FinishedRun
 	seq    int64
 	born   time.Time
 	slow   float64 // factor of slowness; infinite: its tasks stand still
@@ -117,7 +117,7 @@
 	for i := range d.Workers {
 		id := fmt.Sprintf("w%02d", i)
 		w.Workers = append(w.Workers, &Worker{born: start, slow: 1, Member: sched.Member{
-			Life: sched.Life{ID: id, Born: 1}, Service: trace.Service, Addr: id, Zone: fmt.Sprintf("z%d", i%3),
+			Incarnation: sched.Incarnation{ID: id, StartedAt: 1}, Service: trace.Service, Addr: id, Zone: fmt.Sprintf("z%d", i%3),
 			Rack: fmt.Sprintf("r%d", i%d.Racks), Size: wire.Size{CPU: d.Sizes[i%len(d.Sizes)], Mem: d.Mem},
 		}})
 	}
@@ -156,12 +156,12 @@
 
 // Do carries an order out.
 func (w *World) Do(now time.Time, o sched.Order) sched.Outcome {
-	k := w.Worker(o.Life.ID)
+	k := w.Worker(o.Incarnation.ID)
 	switch {
 	case k.away:
 		return sched.OutcomeUnsent
-	case o.Life.Born != k.Member.Born:
-		return sched.OutcomeGone
+	case o.Incarnation.StartedAt != k.Member.StartedAt:
+		return sched.OutcomeOtherIncarnation
 	}
 	if o.Verb == sched.VerbStart {
 		return w.begin(now, k, o)
@@ -170,21 +170,21 @@
 		if t.ID != o.Task || t.Run != o.Run {
 			continue
 		}
-		if o.Verb == sched.VerbPace {
-			t.pace = o.Pace
+		if o.Verb == sched.VerbThrottle {
+			t.pace = o.CPULimit
 		} else if t.stopAt.IsZero() {
 			t.stopAt = now.Add(stopping)
 		}
 		return sched.OutcomeDone
 	}
-	return sched.OutcomeOld
+	return sched.OutcomeRunEnded
 }
 
 func (w *World) begin(now time.Time, k *Worker, o sched.Order) sched.Outcome {
 	j := w.jobs[o.Task.Job]
 	step := &j.Job.Steps[o.Task.Step]
 	if !k.fits(step) {
-		return sched.OutcomeRoom
+		return sched.OutcomeNoResources
 	}
 	t := &Task{
 		ID: o.Task, Run: o.Run, Step: step, pace: 100, phase: w.phases[o.Task.Job], started: now,
@@ -203,12 +203,12 @@
 // fits reports whether a task of a step has room: a worker refuses what goes over its size.
 func (k *Worker) fits(s *sched.Step) bool {
 	cpu, mem := s.Size.CPU, s.Size.Mem
-	if s.Fills {
+	if s.BestEffort {
 		cpu = 0
 	}
 	for _, t := range k.Tasks {
 		mem += t.Step.Size.Mem
-		if !t.Step.Fills {
+		if !t.Step.BestEffort {
 			cpu += t.Step.Size.CPU
 		}
 	}
@@ -245,9 +245,9 @@
 	left, want := float64(k.Member.Size.CPU), 0.0
 	for _, t := range k.Tasks {
 		switch {
-		case t.Step.Fills:
+		case t.Step.BestEffort:
 			want += float64(t.Step.Size.CPU*t.pace) / 100
-		case t.Step.Lasting:
+		case t.Step.LongRunning:
 			left -= w.load(now, t) * float64(t.Step.Size.CPU)
 		default:
 			left -= float64(t.Step.Size.CPU)
@@ -260,7 +260,7 @@
 	fresh := Tick.Seconds() / window.Seconds()
 	for _, t := range k.Tasks {
 		speed := 1.0
-		if t.Step.Fills {
+		if t.Step.BestEffort {
 			speed = part * float64(t.pace) / 100
 		}
 		speed /= k.slow
@@ -268,7 +268,7 @@
 		t.use += fresh * (speed*float64(t.Step.Size.CPU) - t.use)
 	}
 	for _, t := range k.Tasks {
-		if t.Step.Target > 0 {
+		if t.Step.TailTarget > 0 {
 			w.tail(now, k, t)
 		}
 	}
@@ -279,14 +279,14 @@
 	own := w.load(now, t) * k.slow
 	p := own
 	for _, f := range k.Tasks {
-		if f.Step.Fills {
+		if f.Step.BestEffort {
 			p += w.presses[[2]string{t.Step.Image, f.Step.Image}] * f.use / float64(k.Member.Size.CPU)
 		}
 	}
 	most := 1 - restShare
 	t.Over = p > most
 	t.Blamed = t.Over && own <= most
-	t.Tail = time.Duration(restShare * float64(t.Step.Target) / (1 - min(p, fullTail)))
+	t.Tail = time.Duration(restShare * float64(t.Step.TailTarget) / (1 - min(p, fullTail)))
 }
 
 // over ends a task that is done, has failed or is stopped, and reports whether it has.
@@ -295,7 +295,7 @@
 	switch {
 	case !t.stopAt.IsZero() && !now.Before(t.stopAt):
 		how = sched.EndStopped
-	case t.Step.Lasting && !t.sick || t.done < t.need:
+	case t.Step.LongRunning && !t.sick || t.done < t.need:
 		return false
 	case t.sick:
 		how = sched.EndFailed
@@ -305,7 +305,7 @@
 	}
 	save := ""
 	lost := t.done
-	if t.Step.Saves && how != sched.EndDone {
+	if t.Step.Checkpointed && how != sched.EndDone {
 		at := t.kept + t.done
 		if how == sched.EndFailed {
 			at = at.Truncate(saved)
@@ -318,7 +318,7 @@
 		w.Wasted += lost.Seconds() * float64(t.Step.Size.CPU) / 1000
 	}
 	k.seq++
-	k.ends = append(k.ends, sched.Finished{Seq: k.seq, Task: t.ID.String(), Run: t.Run, How: how, Save: save})
+	k.ends = append(k.ends, sched.FinishedRun{Seq: k.seq, Task: t.ID.String(), Run: t.Run, End: how, Checkpoint: save})
 	return true
 }
 
@@ -327,17 +327,17 @@
 	for len(k.ends) > 0 && k.ends[0].Seq <= acked {
 		k.ends = k.ends[1:]
 	}
-	rep := sched.Report{Born: k.Member.Born, Clock: now.Sub(k.born), Finished: append([]sched.Finished(nil), k.ends...)}
+	rep := sched.Report{StartedAt: k.Member.StartedAt, Clock: now.Sub(k.born), Finished: append([]sched.FinishedRun(nil), k.ends...)}
 	for _, t := range k.Tasks {
-		row := sched.Running{Task: t.ID.String(), Run: t.Run, Part: 100}
+		row := sched.RunStatus{Task: t.ID.String(), Run: t.Run, Progress: 100}
 		switch {
-		case !t.Step.Lasting:
-			row.Part = min(100, int(100*t.done/max(t.need, 1)))
-			row.Usage = max(0, t.use*(1+useNoise*w.rng.NormFloat64()))
+		case !t.Step.LongRunning:
+			row.Progress = min(100, int(100*t.done/max(t.need, 1)))
+			row.CPUUsage = max(0, t.use*(1+useNoise*w.rng.NormFloat64()))
 		case !t.Ready(now):
-			row.Part = 0
-		case t.Step.Target > 0:
-			row.Tail = w.read(t.Tail)
+			row.Progress = 0
+		case t.Step.TailTarget > 0:
+			row.TailLatency = w.read(t.Tail)
 		}
 		rep.Running = append(rep.Running, row)
 	}
--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -173,7 +173,7 @@
 func (d *hostDemo) handIn(ctx context.Context) error {
 	step := sched.Step{Count: hostWidth, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: hostTask}
 	second := step
-	second.After = []int{0}
+	second.DependsOn = []int{0}
 	data, err := json.Marshal(sched.Job{Spec: "book", Steps: []sched.Step{step, second}})
 	if err != nil {
 		return errors.Wrap(err, "demo")
