--- a/internal/batch/interf/doc.go
+++ b/internal/batch/interf/doc.go
@@ -1,10 +1,10 @@
-// Package interf models how best-effort ("filling") tasks disturb latency-critical ("serving") ones that run
-// beside them on a worker, and learns it from the tails that the serving tasks show.
+// Package interf models how best-effort tasks interfere with the latency-critical tasks that run beside them on a
+// worker. It learns the interference from the tail latencies of the latency-critical tasks.
 //
-// A serving task's tail grows as that of a queue, rest / (1 - p): rest is its tail without any load, and the
-// pressure p is the load of its own users plus, for each filling image beside it, a factor of the pair of images
-// times the share of the worker's processors that the filling one uses. A Load forecasts the users' load by
-// harmonic regression; Factors are learned by a Kalman filter.
+// The tail latency of a latency-critical task is modelled like that of a queue, unloaded / (1 - p), where unloaded is
+// its tail latency without load. The pressure p is the load of the task's own users plus, for each best-effort image
+// on the same worker, a factor of the pair of images times the share of the worker's CPUs that the best-effort image
+// uses. A LoadForecast forecasts the users' load by harmonic regression; a Kalman filter estimates Factors.
 //
-// Times are seconds from the Unix epoch, so that what was learned can be handed on to another host.
+// Times are in seconds since the Unix epoch, so that another host can restore what has been learned.
 package interf
--- a/internal/batch/interf/factors.go
+++ b/internal/batch/interf/factors.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// Factors are what filling images add to the pressure on a serving image, for each worker's
-// worth of processors that they use. They are learned from every reading by a Kalman filter,
-// which also knows how sure each is.
+// Factors holds the pressure that each best-effort image adds to one latency-critical image when it uses all CPUs of
+// a worker. A Kalman filter updates the factors and their covariance with each measurement.
 type Factors struct {
-	images     []string // images
-	estimates  []float64
-	covariance [][]float64
-	updatedAt  float64    // seconds
-	cached     comparison // the answer of the last call of Compare
+	images     []string    // best-effort images seen; the index in estimates and covariance
+	estimates  []float64   // estimated factor of each image
+	covariance [][]float64 // covariance matrix of the estimates
+	updatedAt  float64     // time of the last update, in seconds
+	cached     comparison  // last result of FactorAndMean
 }
 
-// CPUUsage is the share of a worker's processors that each filling image uses there.
+// CPUUsage is the share of a worker's CPUs that each best-effort image uses there.
 type CPUUsage struct {
 	images []imageUsage
 }
 
+// imageUsage is the usage of one best-effort image, summed over its tasks on the worker.
 type imageUsage struct {
 	image string
-	share float64
+	share float64 // of the worker's CPUs, from 0 to 1
 }
 
-// Add counts what a task of an image uses.
+// Add adds the CPU share of a task of an image.
 func (u *CPUUsage) Add(image string, share float64) {
 	for i := range u.images {
 		if u.images[i].image == image {
@@ -34,44 +34,46 @@
 	u.images = append(u.images, imageUsage{image, share})
 }
 
-// comparison is the factor of a filling image beside the mean of all.
+// comparison is the factor of a best-effort image and the mean factor of all images.
 type comparison struct {
-	valid        bool
+	valid        bool // false: not computed since the factors last changed
 	image        string
 	factor, mean float64
 }
 
 const (
-	// priorFactor and factorSpread are the mean and standard deviation assumed of a pair never seen.
+	// priorFactor and priorFactorStdDev are the mean and standard deviation assumed for a pair of images that has
+	// never been seen.
 	priorFactor       = 0.5
 	priorFactorStdDev = 0.6
-	// factorDrift is how far a factor may move within a second.
+	// factorDrift is the standard deviation of a factor's change within one second.
 	factorDrift = 0.02
-	// factorMeasurementNoise is the standard deviation of a reading's pressure as far as the factors can't
-	// explain it: readings of the tasks on a worker share a part of theirs.
+	// factorMeasurementNoise is the standard deviation of the part of a measured pressure that the factors can't
+	// explain. Measurements of tasks on the same worker share a part of this noise.
 	factorMeasurementNoise = 0.08
-	// maxResidual bounds the error that a reading is taken to have: some are far off.
+	// maxResidual limits the residual with which a measurement enters the filter, as some measurements are outliers.
 	maxResidual = 0.25
 )
 
-func (f *Factors) index(fill string) int {
-	for i, name := range f.images {
-		if name == fill {
+// index returns the index of a best-effort image, or -1 if it hasn't been seen.
+func (f *Factors) index(image string) int {
+	for i, seen := range f.images {
+		if seen == image {
 			return i
 		}
 	}
 	return -1
 }
 
-// Factor returns the factor of a filling image; one never seen has the factor assumed of any pair.
-func (f *Factors) Factor(fill string) float64 {
-	if i := f.index(fill); i >= 0 {
+// Factor returns the factor of a best-effort image, or priorFactor if the image hasn't been seen.
+func (f *Factors) Factor(image string) float64 {
+	if i := f.index(image); i >= 0 {
 		return f.estimates[i]
 	}
 	return priorFactor
 }
 
-// meanFactor returns the average factor of the filling images seen.
+// meanFactor returns the mean factor of the best-effort images seen, or priorFactor if there are none.
 func (f *Factors) meanFactor() float64 {
 	if len(f.estimates) == 0 {
 		return priorFactor
@@ -83,22 +85,22 @@
 	return sum / float64(len(f.estimates))
 }
 
-// FactorAndMean returns the factor of a filling image and the mean of all. Placing asks for the same image many
-// times in a row, so the last answer is kept.
-func (f *Factors) FactorAndMean(fill string) (of, mean float64) {
-	if a := &f.cached; !a.valid || a.image != fill {
-		*a = comparison{true, fill, f.Factor(fill), f.meanFactor()}
+// FactorAndMean returns the factor of a best-effort image and the mean factor of all images. The last result is
+// cached, as placement calls it for the same image many times in a row.
+func (f *Factors) FactorAndMean(image string) (factor, mean float64) {
+	if c := &f.cached; !c.valid || c.image != image {
+		*c = comparison{true, image, f.Factor(image), f.meanFactor()}
 	}
 	return f.cached.factor, f.cached.mean
 }
 
-// setFactor gives an image a factor with a standard deviation.
-func (f *Factors) setFactor(fill string, value, spread float64) {
+// setFactor sets an image's factor and its standard deviation, uncorrelated with the other factors.
+func (f *Factors) setFactor(image string, factor, stdDev float64) {
 	f.cached.valid = false
-	i := f.index(fill)
+	i := f.index(image)
 	if i < 0 {
 		i = len(f.images)
-		f.images = append(f.images, fill)
+		f.images = append(f.images, image)
 		f.estimates = append(f.estimates, 0)
 		for k := range f.covariance {
 			f.covariance[k] = append(f.covariance[k], 0)
@@ -108,14 +110,13 @@
 	for k := range f.covariance {
 		f.covariance[i][k], f.covariance[k][i] = 0, 0
 	}
-	f.estimates[i] = value
-	f.covariance[i][i] = spread * spread
+	f.estimates[i] = factor
+	f.covariance[i][i] = stdDev * stdDev
 }
 
-// expectedPressure returns the pressure expected from images with the shares of processors that they
-// use, and its variance.
-func (f *Factors) expectedPressure(use CPUUsage) (sum, variance float64) {
-	for _, u := range use.images {
+// expectedPressure returns the pressure expected from the best-effort images at their CPU usage, and its variance.
+func (f *Factors) expectedPressure(usage CPUUsage) (sum, variance float64) {
+	for _, u := range usage.images {
 		i := f.index(u.image)
 		if i < 0 {
 			sum += priorFactor * u.share
@@ -123,7 +124,7 @@
 			continue
 		}
 		sum += f.estimates[i] * u.share
-		for _, v := range use.images {
+		for _, v := range usage.images {
 			if k := f.index(v.image); k >= 0 {
 				variance += f.covariance[i][k] * u.share * v.share
 			}
@@ -132,10 +133,10 @@
 	return sum, variance
 }
 
-// update takes a reading's error: the pressure it shows less the one expected, whose variance
-// without the factors' own is noise.
-func (f *Factors) update(at float64, use CPUUsage, residual, noise float64) {
-	for _, u := range use.images {
+// update performs the Kalman filter's update step. The residual is the measured pressure minus the expected one;
+// noise is its variance without the variance of the factors themselves.
+func (f *Factors) update(at float64, usage CPUUsage, residual, noise float64) {
+	for _, u := range usage.images {
 		if f.index(u.image) < 0 {
 			f.setFactor(u.image, priorFactor, priorFactorStdDev)
 		}
@@ -145,10 +146,10 @@
 	for i := range f.covariance {
 		f.covariance[i][i] = min(f.covariance[i][i]+factorDrift*factorDrift*elapsed, priorFactorStdDev*priorFactorStdDev)
 	}
-	_, variance := f.expectedPressure(use)
+	_, variance := f.expectedPressure(usage)
 	gain := make([]float64, len(f.images))
 	for i := range gain {
-		for _, u := range use.images {
+		for _, u := range usage.images {
 			gain[i] += f.covariance[i][f.index(u.image)] * u.share
 		}
 	}
--- a/internal/batch/interf/model.go
+++ b/internal/batch/interf/model.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// Model is what has been learned of how filling images disturb serving ones. Its zero value has learned nothing.
+// Model holds what has been learned of the interference between best-effort and latency-critical images, and which
+// period forecasts the users' loads best. Its zero value is a model without measurements.
 type Model struct {
-	factors       map[string]*Factors  // by serving image
-	squaredErrors [periodCount]float64 // squared errors of the loads' forecasts with each period
-	decayedAt     float64              // seconds; as of when score is
-	bestPeriod    int                  // with the least score
+	factors       map[string]*Factors  // by latency-critical image
+	squaredErrors [periodCount]float64 // decayed sum of squared forecast errors of each candidate period, over all loads
+	decayedAt     float64              // time up to which squaredErrors has been decayed, in seconds
+	bestPeriod    int                  // index of the candidate period with the least squared error
 }
 
 const (
-	// unloadedTailShare is the share of its target that a tail without any load takes. Where it's another, load and factors
-	// come out larger or smaller, and the model still holds: its pressure is a straight line of the true one.
+	// unloadedTailShare is the tail latency without load as a share of the target. Where the real share differs, load
+	// and factors come out larger or smaller, but the model still holds, as its pressure is a linear function of the
+	// real one.
 	unloadedTailShare = 1.0 / 6
-	// TargetPressure is the pressure at which a tail is at its target.
+	// TargetPressure is the pressure at which the tail latency equals its target.
 	TargetPressure = 1 - unloadedTailShare
-	// saturationPressure is where a reading says no more than "far over".
+	// saturationPressure is the pressure from which a measurement shows only that the tail latency is far above its
+	// target.
 	saturationPressure = 0.97
-	// maxPressureError is how far a serving task's pressure may be from what is expected.
+	// maxPressureError is how far a latency-critical task's pressure may be from the expected one.
 	maxPressureError = 0.1
-	// measurementLag is how long ago, in seconds, the middle of what a reading covers is.
+	// measurementLag is the age, in seconds, of the middle of the interval that a measurement covers.
 	measurementLag = 0.3
 )
 
-// pressureFromTail returns the pressure that a tail shows.
+// pressureFromTail returns the pressure that a measured tail latency shows, or 0 without a measurement or a target.
 func pressureFromTail(tail, target time.Duration) float64 {
 	if tail <= 0 || target <= 0 {
 		return 0
@@ -35,85 +38,88 @@
 	return max(0, 1-unloadedTailShare*float64(target)/float64(tail))
 }
 
-// Factors returns the factors of the filling images for a serving one.
-func (m *Model) Factors(serve string) *Factors {
-	f := m.factors[serve]
+// Factors returns the factors of the best-effort images for a latency-critical image.
+func (m *Model) Factors(image string) *Factors {
+	f := m.factors[image]
 	if f == nil {
 		if m.factors == nil {
 			m.factors = map[string]*Factors{}
 		}
 		f = &Factors{}
-		m.factors[serve] = f
+		m.factors[image] = f
 	}
 	return f
 }
 
-// Dissimilarity returns how much the factors of two serving images differ, from 0 to 1; 1 where they aren't known.
+// Dissimilarity returns how much the factors of two latency-critical images differ, from 0 to 1. It is 1 if either
+// image has no known factors.
 func (m *Model) Dissimilarity(a, b string) float64 {
 	f, g := m.Factors(a), m.Factors(b)
 	if len(f.images) == 0 || len(g.images) == 0 {
 		return 1
 	}
 	sum := 0.0
-	for i, fill := range f.images {
-		sum += min(1, math.Abs(f.estimates[i]-g.Factor(fill)))
+	for i, image := range f.images {
+		sum += min(1, math.Abs(f.estimates[i]-g.Factor(image)))
 	}
 	return sum / float64(len(f.images))
 }
 
-// Observe takes a reading, made at a time, of a serving image's tail beside what filling images use. The load is that
-// of the step to which the reading's task belongs.
-func (m *Model) Observe(at float64, l *LoadForecast, serve string, tail, target time.Duration, use CPUUsage) {
+// Observe updates the model and a load forecast with a measurement, made at a time, of the tail latency of a task of
+// a latency-critical image, and the CPU usage of the best-effort images on its worker. The load forecast is that of
+// the task's step.
+func (m *Model) Observe(at float64, l *LoadForecast, image string, tail, target time.Duration, usage CPUUsage) {
 	if tail <= 0 {
 		return
 	}
-	f := m.Factors(serve)
-	got := pressureFromTail(tail, target)
-	fill, unsure := f.expectedPressure(use)
+	f := m.Factors(image)
+	pressure := pressureFromTail(tail, target)
+	interference, variance := f.expectedPressure(usage)
 	load := l.forecast(at-measurementLag, m.bestPeriod)
-	if got >= saturationPressure && load+fill >= saturationPressure {
+	if pressure >= saturationPressure && load+interference >= saturationPressure {
 		return
 	}
 	m.decayErrors(at)
-	spread := l.stdDev(m.bestPeriod)
-	l.update(at-measurementLag, got-fill, loadMeasurementNoise*loadMeasurementNoise/(loadMeasurementNoise*loadMeasurementNoise+unsure), &m.squaredErrors)
-	f.update(at, use, got-load-fill, factorMeasurementNoise*factorMeasurementNoise+spread*spread)
+	loadStdDev := l.stdDev(m.bestPeriod)
+	l.update(at-measurementLag, pressure-interference, loadMeasurementNoise*loadMeasurementNoise/(loadMeasurementNoise*loadMeasurementNoise+variance), &m.squaredErrors)
+	f.update(at, usage, pressure-load-interference, factorMeasurementNoise*factorMeasurementNoise+loadStdDev*loadStdDev)
 }
 
-// decayErrors has older errors of the periods count less.
+// decayErrors reduces the weight of older forecast errors up to a time, then chooses the period anew.
 func (m *Model) decayErrors(at float64) {
-	x := math.Exp(-max(0, at-m.decayedAt) / errorTimeConstant)
+	decay := math.Exp(-max(0, at-m.decayedAt) / errorTimeConstant)
 	m.decayedAt = max(m.decayedAt, at)
 	for i := range m.squaredErrors {
-		m.squaredErrors[i] *= x
+		m.squaredErrors[i] *= decay
 	}
 	m.choosePeriod()
 }
 
-// choosePeriod takes the period with the least score.
+// choosePeriod sets bestPeriod to the candidate period with the least squared error.
 func (m *Model) choosePeriod() {
-	for i, score := range m.squaredErrors {
-		if score < m.squaredErrors[m.bestPeriod] {
+	for i, squaredError := range m.squaredErrors {
+		if squaredError < m.squaredErrors[m.bestPeriod] {
 			m.bestPeriod = i
 		}
 	}
 }
 
-// ExpectedLoad returns the load expected at a time.
+// ExpectedLoad returns the load forecast for a time.
 func (m *Model) ExpectedLoad(l *LoadForecast, at float64) float64 {
 	return l.forecast(at, m.bestPeriod)
 }
 
-// PeakLoad returns the most load expected from a time on, for some seconds ahead.
+// PeakLoad returns the highest load forecast for the interval of ahead seconds from a time, sampled at its start,
+// middle and end.
 func (m *Model) PeakLoad(l *LoadForecast, at, ahead float64) float64 {
-	most := 0.0
-	for _, x := range []float64{0, ahead / 2, ahead} {
-		most = max(most, l.forecast(at+x, m.bestPeriod))
+	peak := 0.0
+	for _, offset := range []float64{0, ahead / 2, ahead} {
+		peak = max(peak, l.forecast(at+offset, m.bestPeriod))
 	}
-	return most
+	return peak
 }
 
-// Period returns the period, in seconds, with which the loads are forecast best, or 0 if they are steady.
+// Period returns the period, in seconds, that forecasts the loads best, or 0 if that is the fit without oscillation.
 func (m *Model) Period() float64 {
 	if angularFrequency[m.bestPeriod] == 0 {
 		return 0
@@ -121,8 +127,8 @@
 	return timeConstant[m.bestPeriod]
 }
 
-// OverTargetRisk returns the chance that a task is over its target whose pressure is expected to be that much
-// above TargetPressure. It goes on rising above 1: what is far over takes longer to come back.
+// OverTargetRisk returns the probability that a task exceeds its latency target if its expected pressure is that much
+// above TargetPressure. It isn't capped at 1, as a task far above its target takes longer to recover.
 func OverTargetRisk(above float64) float64 {
 	return max(0, 0.5+above/(2*maxPressureError))
 }
--- a/internal/batch/interf/model_test.go
+++ b/internal/batch/interf/model_test.go
@@ -11,10 +11,10 @@
 
 const (
 	target       = 24 * time.Millisecond
-	unloadedTail = target / 6 // tail without any load
+	unloadedTail = target / 6 // tail latency without load
 )
 
-// tailForPressure returns the tail that shows a pressure.
+// tailForPressure returns the tail latency at a pressure.
 func tailForPressure(pressure float64) time.Duration {
 	return time.Duration(float64(unloadedTail) / (1 - pressure))
 }
@@ -25,10 +25,10 @@
 		tail, target time.Duration
 		want         float64
 	}{
-		{"no reading", 0, target, 0},
+		{"no measurement", 0, target, 0},
 		{"no target", target, 0, 0},
-		{"without any load", unloadedTail, target, 0},
-		{"below what is possible", unloadedTail / 2, target, 0},
+		{"without load", unloadedTail, target, 0},
+		{"below the unloaded tail", unloadedTail / 2, target, 0},
 		{"half of the target", target / 2, target, 2.0 / 3},
 		{"at the target", target, target, TargetPressure},
 		{"twice the target", 2 * target, target, 11.0 / 12},
@@ -48,29 +48,29 @@
 		want  float64
 	}{
 		{"far below", -0.5, 0},
-		{"just as likely as not", 0, 0.5},
-		{"surely", maxPressureError, 1},
+		{"even odds", 0, 0.5},
+		{"certain", maxPressureError, 1},
 		{"far above", 3 * maxPressureError, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := OverTargetRisk(tt.above); math.Abs(got-tt.want) > 1e-9 {
-				t.Errorf("%.4f, want %.4f", got, tt.want)
+				t.Errorf("risk %.4f, want %.4f", got, tt.want)
 			}
 		})
 	}
 }
 
 func TestCPUUsageAdd(t *testing.T) {
-	var use CPUUsage
-	use.Add("book", 0.1)
-	use.Add("audit", 0.2)
-	use.Add("book", 0.3)
-	if want := []imageUsage{{"book", 0.4}, {"audit", 0.2}}; !reflect.DeepEqual(use.images, want) {
-		t.Errorf("%v, want %v", use.images, want)
+	var usage CPUUsage
+	usage.Add("book", 0.1)
+	usage.Add("audit", 0.2)
+	usage.Add("book", 0.3)
+	if want := []imageUsage{{"book", 0.4}, {"audit", 0.2}}; !reflect.DeepEqual(usage.images, want) {
+		t.Errorf("usage %v, want %v", usage.images, want)
 	}
 }
 
-// A model, a load and factors need no construction: without a reading they tell the priors.
+// The zero values of Model, LoadForecast and Factors must be usable and return the priors before any measurement.
 func TestZeroValues(t *testing.T) {
 	var m Model
 	var l LoadForecast
@@ -83,45 +83,46 @@
 	if got := m.Period(); got != 0 {
 		t.Errorf("period %v, want none", got)
 	}
-	if s, ok := m.Fit(&l); ok {
-		t.Errorf("swing %v without a reading", s)
+	if fit, ok := m.Fit(&l); ok {
+		t.Errorf("fit %v without a measurement", fit)
 	}
 	var f Factors
-	if of, mean := f.FactorAndMean("book"); of != priorFactor || mean != priorFactor {
-		t.Errorf("factor %v of %v, want %v of both", of, mean, priorFactor)
+	if factor, mean := f.FactorAndMean("book"); factor != priorFactor || mean != priorFactor {
+		t.Errorf("factor %v, mean %v, want %v for both", factor, mean, priorFactor)
 	}
 	for i := range 20 {
 		m.Observe(1e9+float64(i), &l, "feed", tailForPressure(0.7), target, CPUUsage{})
 	}
 	if got := m.ExpectedLoad(&l, 1e9+20); math.Abs(got-0.7) > 0.05 {
-		t.Errorf("load %.2f after readings of 0.70", got)
+		t.Errorf("load %.2f after measurements of 0.70", got)
 	}
 }
 
-// The factors of two filling images are told apart from the users' load, though each reading shows only the sum of all.
+// The factors of two best-effort images must be separated from the users' load, though each measurement shows only the
+// sum of the three.
 func TestFactorsConverge(t *testing.T) {
 	truth := map[string]float64{"mild": 0.1, "harsh": 1.2}
 	for _, tt := range []struct {
-		name  string
-		swing float64
+		name      string
+		amplitude float64
 	}{
 		{"steady load", 0},
-		{"swinging load", 0.2},
+		{"oscillating load", 0.2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(3, 4))
 			var m Model
 			l := NewLoadForecast(0)
 			for at := 0.0; at < 120; at += 0.5 {
-				pressure := 0.4 + tt.swing*math.Sin(2*math.Pi*(at-measurementLag)/10) + 0.03*rng.NormFloat64()
-				var use CPUUsage
+				pressure := 0.4 + tt.amplitude*math.Sin(2*math.Pi*(at-measurementLag)/10) + 0.03*rng.NormFloat64()
+				var usage CPUUsage
 				for _, image := range []string{"mild", "harsh"} {
 					if share := 0.25 * float64(rng.IntN(2)); share > 0 {
-						use.Add(image, share)
+						usage.Add(image, share)
 						pressure += truth[image] * share
 					}
 				}
-				m.Observe(at, l, "feed", tailForPressure(pressure), target, use)
+				m.Observe(at, l, "feed", tailForPressure(pressure), target, usage)
 			}
 			f := m.Factors("feed")
 			for image, want := range truth {
@@ -129,34 +130,34 @@
 					t.Errorf("factor of %s: %.2f, want %.2f", image, got, want)
 				}
 			}
-			of, mean := f.FactorAndMean("harsh")
-			if of != f.Factor("harsh") || mean != (f.Factor("mild")+f.Factor("harsh"))/2 {
-				t.Errorf("harsh is %.2f beside %.2f", of, mean)
+			factor, mean := f.FactorAndMean("harsh")
+			if factor != f.Factor("harsh") || mean != (f.Factor("mild")+f.Factor("harsh"))/2 {
+				t.Errorf("FactorAndMean of harsh: factor %.2f, mean %.2f", factor, mean)
 			}
 			if got := f.Factor("unseen"); got != priorFactor {
-				t.Errorf("factor of an image never seen: %.2f, want %.2f", got, priorFactor)
+				t.Errorf("factor of an unseen image: %.2f, want %.2f", got, priorFactor)
 			}
 		})
 	}
 }
 
-// The cached comparison of an image must not outlive a reading that changes its factor.
+// The cached result of FactorAndMean must be invalidated by a measurement that changes the factor.
 func TestFactorAndMeanAfterObserve(t *testing.T) {
 	var m Model
 	l := NewLoadForecast(0)
-	var use CPUUsage
-	use.Add("book", 0.3)
+	var usage CPUUsage
+	usage.Add("book", 0.3)
 	m.Restore(0, State{Pairs: []Pair{{"feed", "book", priorFactor, priorFactorStdDev}}})
 	f := m.Factors("feed")
 	f.FactorAndMean("book")
-	m.Observe(1, l, "feed", tailForPressure(0.9), target, use)
-	of, mean := f.FactorAndMean("book")
-	if of <= priorFactor || of != f.Factor("book") || mean != of {
-		t.Errorf("factor %.3f beside %.3f, want %.3f of both, above %.3f", of, mean, f.Factor("book"), priorFactor)
+	m.Observe(1, l, "feed", tailForPressure(0.9), target, usage)
+	factor, mean := f.FactorAndMean("book")
+	if factor <= priorFactor || factor != f.Factor("book") || mean != factor {
+		t.Errorf("factor %.3f, mean %.3f, want %.3f for both, above %.3f", factor, mean, f.Factor("book"), priorFactor)
 	}
 }
 
-// Readings that say nothing change nothing.
+// Measurements without information must not change the model or the load forecast.
 func TestMeasurementIgnored(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -169,12 +170,12 @@
 			var m Model
 			l := NewLoadForecast(0)
 			m.Restore(0, State{Pairs: []Pair{{"feed", "book", 2, 0.1}}})
-			var use CPUUsage
-			use.Add("book", 0.5)
+			var usage CPUUsage
+			usage.Add("book", 0.5)
 			before := *l
-			m.Observe(1, l, "feed", tt.tail, target, use)
+			m.Observe(1, l, "feed", tt.tail, target, usage)
 			if *l != before {
-				t.Error("the load changed")
+				t.Error("the load forecast changed")
 			}
 			if got := m.Factors("feed").Factor("book"); got != 2 {
 				t.Errorf("factor %.2f, want 2.00", got)
@@ -189,24 +190,24 @@
 		pairs []Pair
 		want  float64
 	}{
-		{"nothing known", nil, 1},
-		{"one known", []Pair{{"a", "book", 1, 0.1}}, 1},
-		{"the same", []Pair{{"a", "book", 1, 0.1}, {"b", "book", 1, 0.1}}, 0},
-		{"half of the images", []Pair{{"a", "book", 1, 0.1}, {"b", "book", 1, 0.1}, {"a", "audit", 0.1, 0.1}, {"b", "audit", 0.7, 0.1}}, 0.3},
-		{"a difference counts 1 at most", []Pair{{"a", "book", 0, 0.1}, {"b", "book", 3, 0.1}}, 1},
-		{"an image that only one has seen", []Pair{{"a", "book", 0.8, 0.1}, {"b", "audit", 1, 0.1}}, 0.8 - priorFactor},
+		{"no image known", nil, 1},
+		{"one image known", []Pair{{"a", "book", 1, 0.1}}, 1},
+		{"same factors", []Pair{{"a", "book", 1, 0.1}, {"b", "book", 1, 0.1}}, 0},
+		{"one of two factors differs", []Pair{{"a", "book", 1, 0.1}, {"b", "book", 1, 0.1}, {"a", "audit", 0.1, 0.1}, {"b", "audit", 0.7, 0.1}}, 0.3},
+		{"difference limited to 1", []Pair{{"a", "book", 0, 0.1}, {"b", "book", 3, 0.1}}, 1},
+		{"best-effort image seen by one only", []Pair{{"a", "book", 0.8, 0.1}, {"b", "audit", 1, 0.1}}, 0.8 - priorFactor},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var m Model
 			m.Restore(0, State{Pairs: tt.pairs})
 			if got := m.Dissimilarity("a", "b"); math.Abs(got-tt.want) > 1e-9 {
-				t.Errorf("%.3f, want %.3f", got, tt.want)
+				t.Errorf("dissimilarity %.3f, want %.3f", got, tt.want)
 			}
 		})
 	}
 }
 
-// Holders of two versions hand the state to each other, so the names of its fields are fixed.
+// A holder may restore state that another version has stored, so the JSON keys must not change.
 func TestStateEncoded(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -215,7 +216,7 @@
 	}{
 		{"state", State{SquaredErrors: []float64{1, 2}, Pairs: []Pair{{"feed", "book", 1.2, 0.1}}},
 			`{"score":[1,2],"pairs":[{"serve":"feed","fill":"book","factor":1.2,"spread":0.1}]}`},
-		{"swing", LoadFit{0.5, 0.1, -0.2}, `{"level":0.5,"cos":0.1,"sin":-0.2}`},
+		{"load fit", LoadFit{0.5, 0.1, -0.2}, `{"level":0.5,"cos":0.1,"sin":-0.2}`},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			got, err := json.Marshal(tt.value)
@@ -230,23 +231,23 @@
 }
 
 func TestRestore(t *testing.T) {
-	score := make([]float64, periodCount)
-	for i := range score {
-		score[i] = 5
+	squaredErrors := make([]float64, periodCount)
+	for i := range squaredErrors {
+		squaredErrors[i] = 5
 	}
-	score[4] = 1
+	squaredErrors[4] = 1
 	for _, tt := range []struct {
-		name   string
-		score  []float64
-		period float64
+		name          string
+		squaredErrors []float64
+		period        float64
 	}{
-		{"scores of all periods", score, timeConstant[4]},
-		{"scores of other periods", score[:8], 0},
-		{"no scores", nil, 0},
+		{"errors of all candidate periods", squaredErrors, timeConstant[4]},
+		{"errors of another number of periods", squaredErrors[:8], 0},
+		{"no errors", nil, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var m Model
-			m.Restore(9, State{SquaredErrors: tt.score, Pairs: []Pair{{"feed", "book", 1.2, 0.1}}})
+			m.Restore(9, State{SquaredErrors: tt.squaredErrors, Pairs: []Pair{{"feed", "book", 1.2, 0.1}}})
 			if got := m.Period(); got != tt.period {
 				t.Errorf("period %.2f, want %.2f", got, tt.period)
 			}
@@ -254,74 +255,74 @@
 			if want := []Pair{{"feed", "book", 1.2, 0.1}}; !reflect.DeepEqual(st.Pairs, want) {
 				t.Errorf("pairs %v, want %v", st.Pairs, want)
 			}
-			// A model restored from its own state is the same one.
+			// A model restored from its own state must not change.
 			m.Restore(9, st)
 			if got := m.State(); !reflect.DeepEqual(got, st) {
-				t.Errorf("%v, want %v", got, st)
+				t.Errorf("state %v, want %v", got, st)
 			}
 			if got := m.Period(); got != tt.period {
-				t.Errorf("period %.2f after its own state, want %.2f", got, tt.period)
+				t.Errorf("period %.2f after restoring its own state, want %.2f", got, tt.period)
 			}
 		})
 	}
 }
 
 func TestPeakLoad(t *testing.T) {
-	score := make([]float64, periodCount)
-	for i := range score {
-		score[i] = 5
+	squaredErrors := make([]float64, periodCount)
+	for i := range squaredErrors {
+		squaredErrors[i] = 5
 	}
-	score[4] = 1
+	squaredErrors[4] = 1
 	var m Model
-	m.Restore(0, State{SquaredErrors: score})
+	m.Restore(0, State{SquaredErrors: squaredErrors})
 	var l LoadForecast
 	m.SeedLoad(&l, 0, LoadFit{Level: 0.5, Sin: 0.2})
-	quarter := m.Period() / 4 // the load's maximum
+	quarter := m.Period() / 4 // time of the load's maximum
 	for _, tt := range []struct {
-		name             string
-		at, ahead, where float64
+		name              string
+		at, ahead, peakAt float64
 	}{
-		{"nothing ahead", 0, 0, 0},
+		{"empty interval", 0, 0, 0},
 		{"rising", 0, quarter, quarter},
 		{"over the maximum", quarter / 2, quarter, quarter},
 		{"falling", quarter, quarter, quarter},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if got, want := m.PeakLoad(&l, tt.at, tt.ahead), m.ExpectedLoad(&l, tt.where); math.Abs(got-want) > 1e-9 {
-				t.Errorf("%.3f, want %.3f", got, want)
+			if got, want := m.PeakLoad(&l, tt.at, tt.ahead), m.ExpectedLoad(&l, tt.peakAt); math.Abs(got-want) > 1e-9 {
+				t.Errorf("peak load %.3f, want %.3f", got, want)
 			}
 		})
 	}
 }
 
-// A load seeded with another's swing tells the same as the other.
+// A load forecast seeded with the fit of a former model must forecast the same load.
 func TestSeedLoad(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		swing float64
+		name      string
+		amplitude float64
 	}{
 		{"steady", 0},
-		{"swinging", 0.24},
+		{"oscillating", 0.24},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var former, next Model
+			var former, restored Model
 			l := NewLoadForecast(0)
-			truth := func(at float64) float64 { return 0.5 + tt.swing*math.Sin(2*math.Pi*at/10) }
+			truth := func(at float64) float64 { return 0.5 + tt.amplitude*math.Sin(2*math.Pi*at/10) }
 			for at := 0.0; at < 40; at += 0.2 {
 				former.Observe(at+measurementLag, l, "feed", tailForPressure(truth(at)), target, CPUUsage{})
 			}
-			s, ok := former.Fit(l)
+			fit, ok := former.Fit(l)
 			if !ok {
-				t.Fatal("no swing after 200 readings")
+				t.Fatal("no fit after 200 measurements")
 			}
-			next.Restore(40, former.State())
-			if next.Period() != former.Period() {
-				t.Errorf("period %.2f, want %.2f", next.Period(), former.Period())
+			restored.Restore(40, former.State())
+			if restored.Period() != former.Period() {
+				t.Errorf("period %.2f, want %.2f", restored.Period(), former.Period())
 			}
 			var seeded LoadForecast
-			next.SeedLoad(&seeded, 40, s)
+			restored.SeedLoad(&seeded, 40, fit)
 			for _, at := range []float64{40, 42.5, 45, 47.5} {
-				if got := next.ExpectedLoad(&seeded, at); math.Abs(got-truth(at)) > 0.08 {
+				if got := restored.ExpectedLoad(&seeded, at); math.Abs(got-truth(at)) > 0.08 {
 					t.Errorf("load at %.1f s: %.2f, want %.2f", at, got, truth(at))
 				}
 			}
--- a/internal/batch/interf/state.go
+++ b/internal/batch/interf/state.go
@@ -5,53 +5,54 @@
 	"slices"
 )
 
-// State is what a model has learned of images, as it is stored.
+// State is what a model has learned, in the form in which it is stored.
 type State struct {
-	SquaredErrors []float64 `json:"score"` // squared forecast errors of each period
-	Pairs         []Pair    `json:"pairs"`
+	SquaredErrors []float64 `json:"score"` // squared forecast errors of each candidate period
+	Pairs         []Pair    `json:"pairs"` // learned interference factors
 }
 
-// Pair is the factor of a filling image for a serving one and its standard deviation.
+// Pair is the factor of a best-effort image for a latency-critical image.
 type Pair struct {
-	LatencyCritical string  `json:"serve"`
-	BestEffort      string  `json:"fill"`
-	Factor          float64 `json:"factor"`
-	StdDev          float64 `json:"spread"`
+	LatencyCritical string  `json:"serve"`  // image
+	BestEffort      string  `json:"fill"`   // image
+	Factor          float64 `json:"factor"` // pressure that the best-effort image adds when it uses all CPUs of a worker
+	StdDev          float64 `json:"spread"` // standard deviation of Factor
 }
 
 // LoadFit is the fit of a load for the Model's period.
 type LoadFit struct {
-	Level float64 `json:"level"`
-	Cos   float64 `json:"cos"`
-	Sin   float64 `json:"sin"`
+	Level float64 `json:"level"` // load without the oscillation
+	Cos   float64 `json:"cos"`   // coefficient of the cosine
+	Sin   float64 `json:"sin"`   // coefficient of the sine
 }
 
-// State returns what the model has learned of images.
+// State returns what the model has learned, without the forecasts of the loads.
 func (m *Model) State() State {
 	st := State{SquaredErrors: slices.Clone(m.squaredErrors[:])}
-	for serve, f := range m.factors {
-		for i, fill := range f.images {
-			st.Pairs = append(st.Pairs, Pair{serve, fill, f.estimates[i], math.Sqrt(max(0, f.covariance[i][i]))})
+	for latencyCritical, f := range m.factors {
+		for i, bestEffort := range f.images {
+			st.Pairs = append(st.Pairs, Pair{latencyCritical, bestEffort, f.estimates[i], math.Sqrt(max(0, f.covariance[i][i]))})
 		}
 	}
 	return st
 }
 
-// Restore makes the model one that has learned a state, as of a time.
+// Restore replaces what the model has learned by a state, as of a time. Squared errors are ignored if their number
+// isn't that of this version's candidate periods.
 func (m *Model) Restore(at float64, st State) {
 	*m = Model{decayedAt: at}
 	if len(st.SquaredErrors) == periodCount {
 		copy(m.squaredErrors[:], st.SquaredErrors)
 	}
-	for _, x := range st.Pairs {
-		f := m.Factors(x.LatencyCritical)
-		f.setFactor(x.BestEffort, x.Factor, x.StdDev)
+	for _, pair := range st.Pairs {
+		f := m.Factors(pair.LatencyCritical)
+		f.setFactor(pair.BestEffort, pair.Factor, pair.StdDev)
 		f.updatedAt = at
 	}
 	m.choosePeriod()
 }
 
-// Fit returns the fit of a load, if it has readings enough.
+// Fit returns the fit of a load for the model's period, and false if it has too few measurements.
 func (m *Model) Fit(l *LoadForecast) (LoadFit, bool) {
 	if l.sums[m.bestPeriod].w <= 1 {
 		return LoadFit{}, false
@@ -60,7 +61,8 @@
 	return LoadFit{f.level, f.cos, f.sin}, true
 }
 
-// SeedLoad has a load begin with a fit that a model found whose state this one was restored from.
-func (m *Model) SeedLoad(l *LoadForecast, at float64, s LoadFit) {
-	l.seed(at, m.bestPeriod, s)
+// SeedLoad starts a load forecast from a fit, as of a time. The fit must come from the model whose State this model was
+// restored from, as it belongs to that model's period.
+func (m *Model) SeedLoad(l *LoadForecast, at float64, fit LoadFit) {
+	l.seed(at, m.bestPeriod, fit)
 }
