--- a/internal/batch/health/breaker_test.go
+++ b/internal/batch/health/breaker_test.go
@@ -8,13 +8,13 @@
 func TestBreaker(t *testing.T) {
 	const second = time.Second
 	type event struct {
-		at   time.Duration
-		job  string        // that failed; empty: a success, unless rest is set
-		rest time.Duration // until when a rest is asked for
+		at        time.Duration
+		failedJob string        // empty: a success, unless tripUntil is set
+		tripUntil time.Duration // argument of TripUntil, if set
 	}
 	fail := func(at time.Duration, jobs ...string) (all []event) {
 		for _, j := range jobs {
-			all = append(all, event{at: at, job: j})
+			all = append(all, event{at: at, failedJob: j})
 		}
 		return all
 	}
@@ -28,23 +28,23 @@
 	for _, tt := range []struct {
 		name   string
 		events []event
-		until  time.Duration // the first moment at which it isn't tripped
+		until  time.Duration // end of the cooldown; 0: not tripped
 	}{
 		{"no event", nil, 0},
-		{"two jobs", fail(0, "a", "b"), 0},
-		{"one job, however often", fail(0, "a", "a", "a", "a"), 0},
-		{"three jobs", fail(0, "a", "b", "c"), 3 * second},
-		{"three jobs with a success between", join(fail(0, "a", "b"), success(0), fail(0, "c")), 0},
-		{"failures at once are one rest", fail(0, "a", "b", "c", "d", "e", "f"), 3 * second},
-		{"a failure during the rest doesn't prolong it", join(fail(0, "a", "b", "c"), fail(2*second, "d")), 3 * second},
-		{"one failure after a rest", join(fail(0, "a", "b", "c"), fail(4*second, "a")), 10 * second},
-		{"the rest doesn't grow without bound", join(fail(0, "a", "b", "c"), fail(4*second, "a"), fail(11*second, "a"), fail(18*second, "a")), 24 * second},
-		{"one failure after a success that followed a rest", join(fail(0, "a", "b", "c"), success(4*second), fail(5*second, "a")), 3 * second},
-		{"three jobs after such a success", join(fail(0, "a", "b", "c"), success(4*second), fail(5*second, "a", "b", "c")), 8 * second},
-		{"a success doesn't end a rest", join(fail(0, "a", "b", "c"), success(second)), 3 * second},
-		{"a rest asked for", []event{{rest: second}}, second},
-		{"a shorter rest asked for", join(fail(0, "a", "b", "c"), []event{{at: second, rest: 2 * second}}), 3 * second},
-		{"a longer rest asked for", join(fail(0, "a", "b", "c"), []event{{at: second, rest: 5 * second}}), 5 * second},
+		{"two failed jobs", fail(0, "a", "b"), 0},
+		{"one job failed four times", fail(0, "a", "a", "a", "a"), 0},
+		{"three failed jobs", fail(0, "a", "b", "c"), 3 * second},
+		{"three failed jobs with a success in between", join(fail(0, "a", "b"), success(0), fail(0, "c")), 0},
+		{"simultaneous failures trip once", fail(0, "a", "b", "c", "d", "e", "f"), 3 * second},
+		{"failure during the cooldown doesn't extend it", join(fail(0, "a", "b", "c"), fail(2*second, "d")), 3 * second},
+		{"one failure after the cooldown", join(fail(0, "a", "b", "c"), fail(4*second, "a")), 10 * second},
+		{"cooldown is limited", join(fail(0, "a", "b", "c"), fail(4*second, "a"), fail(11*second, "a"), fail(18*second, "a")), 24 * second},
+		{"one failure after the cooldown and a success", join(fail(0, "a", "b", "c"), success(4*second), fail(5*second, "a")), 3 * second},
+		{"three failed jobs after the cooldown and a success", join(fail(0, "a", "b", "c"), success(4*second), fail(5*second, "a", "b", "c")), 8 * second},
+		{"success doesn't end the cooldown", join(fail(0, "a", "b", "c"), success(second)), 3 * second},
+		{"TripUntil when not tripped", []event{{tripUntil: second}}, second},
+		{"TripUntil before the end of the cooldown", join(fail(0, "a", "b", "c"), []event{{at: second, tripUntil: 2 * second}}), 3 * second},
+		{"TripUntil after the end of the cooldown", join(fail(0, "a", "b", "c"), []event{{at: second, tripUntil: 5 * second}}), 5 * second},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -52,19 +52,19 @@
 			for _, e := range tt.events {
 				now := start.Add(e.at)
 				switch {
-				case e.rest > 0:
-					b.TripUntil(start.Add(e.rest))
-				case e.job != "":
-					b.RecordFailure(now, e.job)
+				case e.tripUntil > 0:
+					b.TripUntil(start.Add(e.tripUntil))
+				case e.failedJob != "":
+					b.RecordFailure(now, e.failedJob)
 				default:
 					b.RecordSuccess()
 				}
 			}
 			if b.Tripped(start.Add(tt.until)) {
-				t.Errorf("tripped at %s", tt.until)
+				t.Errorf("tripped at %s, want not tripped", tt.until)
 			}
 			if before := start.Add(tt.until - time.Millisecond); tt.until > 0 && !b.Tripped(before) {
-				t.Errorf("not tripped a millisecond before %s", tt.until)
+				t.Errorf("not tripped 1 ms before %s, want tripped", tt.until)
 			}
 		})
 	}
--- a/internal/batch/health/doc.go
+++ b/internal/batch/health/doc.go
@@ -1,2 +1,2 @@
-// Package health judges a worker by how its tasks end, and keeps new ones off a worker that fails them.
+// Package health decides from the outcomes of a worker's tasks whether the worker may get new ones.
 package health
