--- a/internal/ctrl/lead/doc.go
+++ b/internal/ctrl/lead/doc.go
@@ -1,5 +1,4 @@
-// Package lead decides which process holds a service's jobs and workers. The holder has a
-// key in the store bound to a lease, a term that grows with each change of holder, and a
-// chain: every write of a holder depends on its former one, so that a write of a holder
-// that has been replaced, or one that arrives late, changes nothing.
+// Package lead elects the process that manages the jobs and workers of a service, the holder. The holder has a key in
+// the store that is bound to a lease, and a term that grows with each change of holder. Each write of a holder is
+// conditional on its previous one, so that a write of a replaced holder, or one that arrives late, has no effect.
 package lead
--- a/internal/ctrl/lead/elector.go
+++ b/internal/ctrl/lead/elector.go
@@ -15,83 +15,87 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// ErrNotHolder says that another process has become the holder.
+// ErrNotHolder means that this process is no longer the holder.
 var ErrNotHolder = errors.New("lead: another holder")
 
 // Keys in the store.
 const (
 	keyPrefix    = "lead/"
-	keyHolder    = keyPrefix + "holder" // who holds; bound to the holder's lease
+	keyHolder    = keyPrefix + "holder" // the Holder, in JSON; bound to the holder's lease
 	keyTerm      = keyPrefix + "term"   // the newest term
-	keyLoad      = keyPrefix + "load"   // what the newest holder carries
-	keyLastWrite = "chain"              // the newest write of the holder
+	keyLoad      = keyPrefix + "load"   // the load of the newest holder; see LoadWrite
+	keyLastWrite = "chain"              // the writeID of the holder's last write, in JSON
 )
 
 const (
-	// watchTimeout is how long a watch for a change of holder waits: one call for each.
+	// watchTimeout is how long a watch waits for a change of the holder's key; each watch is one call to the store.
 	watchTimeout = 10 * time.Second
-	// claimJitter parts the claims of processes that see the holder's key vanish together.
+	// claimJitter is the longest random delay by which processes that see the holder's key deleted at the same time
+	// separate their claims.
 	claimJitter = 80 * time.Millisecond
-	// maxClaimDelay is how long a vacant key is left to others by a process that can carry next to
-	// nothing of the load. A process that can carry it has claimed and is seen well within that; longer, and
-	// what ran on a worker that is lost with the holder comes back too late where no process can.
+	// maxClaimDelay is how long a process with next to no capacity for the load leaves a vacant key to others. A
+	// process with enough capacity claims, and its claim is seen, well within that time. If no process has enough
+	// capacity, a longer delay would restart the runs of a worker that is lost together with the holder too late.
 	maxClaimDelay = 500 * time.Millisecond
-	// retryInterval is between calls that the store refused or didn't answer.
+	// retryInterval is the pause before the next call when the store refused or didn't answer one.
 	retryInterval = 100 * time.Millisecond
-	// restoreChecks times retryPause is what a former holder at work has to put its key back.
+	// restoreChecks times retryInterval is the time that a running former holder has to restore its key.
 	restoreChecks = 6
-	// outageWindow is how long after the store's return a lapsed lease is put down to its outage.
+	// outageWindow is the time from when the store answers again during which the expiry of a lease is attributed to
+	// the store's outage.
 	outageWindow = time.Second
-	// renewalsPerLease is how many renewalsPerLease are sent within a lease's time.
+	// renewalsPerLease is the number of renewals that are sent within a lease's TTL. It also limits the renewals in flight
+	// and the attempts to resolve a claim.
 	renewalsPerLease = 5
 )
 
-// Holder is the process that holds, as the store names it.
+// Holder describes the holder, as it is stored. Its zero value means that there is no holder.
 type Holder struct {
-	Name    string `json:"name"`
+	Name    string `json:"name"` // of the process
 	Addr    string `json:"addr"` // of its peer interface
-	Term    int64  `json:"term"`
-	ClaimID string `json:"once"` // of this claim, to know it again when its answer was lost
+	Term    int64  `json:"term"` // grows with each change of holder
+	ClaimID string `json:"once"` // unique for each claim; identifies a claim whose call got no answer
 }
 
-// Options of a Lead.
+// Options holds the settings of an Elector.
 type Options struct {
 	Store    store.Multi
-	Name     string
-	Addr     string
-	LeaseTTL time.Duration // after which a holder that doesn't renew is replaced
+	Name     string        // of this process
+	Addr     string        // of this process's peer interface
+	LeaseTTL time.Duration // time after which a holder that doesn't renew its lease is replaced
 	Log      logr.Logger
-	// HolderAlive asks the holder directly whether it is at work; it is consulted before its key,
-	// which may have vanished with the store's outage, is claimed.
+	// HolderAlive, if set, asks a former holder directly whether it is running. It is called before this process
+	// claims the former holder's key, which may have been deleted because of an outage of the store.
 	HolderAlive func(ctx context.Context, h Holder) bool
-	// Capacity tells how much load this process can carry as the holder now, in the measure of LoadWrite;
-	// 0, or nil: not known. One that carries less than there is leaves a vacant key for a while to others.
+	// Capacity returns how much load this process can handle as the holder at present, in the unit of LoadWrite. 0, or
+	// a nil function, means that the capacity isn't known. A process with less capacity than the stored load delays
+	// its claim of a vacant key.
 	Capacity func() int
 }
 
-// Elector follows who the holder is and claims to be it where there is none.
+// Elector keeps track of the holder and claims to be the holder when there is none.
 type Elector struct {
 	opt Options
 
 	mu             sync.Mutex
-	holder         Holder
-	stored         storedState
-	formerHolder   Holder // before the key vanished
-	tenure         *Tenure
-	changed        chan struct{}
-	noClaimBefore  time.Time // no claim before
-	storeFailing   bool      // the store's last call failed
-	storeResumedAt time.Time // when the store answered again after failing
+	holder         Holder        // as far as is known here
+	stored         storedState   // as last read
+	formerHolder   Holder        // holder before its key was deleted
+	tenure         *Tenure       // nil: this process isn't the holder
+	changed        chan struct{} // closed and replaced when holder changes
+	noClaimBefore  time.Time     // end of the suspension of claims
+	storeFailing   bool          // whether the last call to the store failed
+	storeResumedAt time.Time     // when the store answered again after failing
 }
 
-// storedState is what the store says besides who holds.
+// storedState is what the store holds about the newest term besides the holder.
 type storedState struct {
 	term    int64
-	termRev uint64 // 0: there was no holder yet
+	termRev uint64 // revision of the term's key; 0: there has been no holder yet
 	load    int    // 0: not known
 }
 
-// New returns a Lead; Run has it work.
+// New returns an Elector, which does nothing until Run is called.
 func New(opt Options) *Elector {
 	if opt.Capacity == nil {
 		opt.Capacity = func() int { return 0 }
@@ -99,344 +103,353 @@
 	return &Elector{opt: opt, changed: make(chan struct{})}
 }
 
-// Holder returns the holder as far as is known here, and a channel that is closed when that changes.
-func (l *Elector) Holder() (Holder, <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.holder, l.changed
+// Holder returns the holder as far as is known here, and a channel that is closed when the known holder changes.
+func (e *Elector) Holder() (Holder, <-chan struct{}) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.holder, e.changed
 }
 
-// StoreFailing reports whether the store's last call from this process failed.
-func (l *Elector) StoreFailing() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.storeFailing
+// StoreFailing reports whether this process's last call to the store failed.
+func (e *Elector) StoreFailing() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.storeFailing
 }
 
-// ProbeStore reports whether the store answers this process, by a question of its own where the last
-// call was answered. A silent store cuts no watch off, so that for many seconds no call fails.
-func (l *Elector) ProbeStore(ctx context.Context) bool {
-	if l.StoreFailing() {
+// ProbeStore reports whether the store answers this process. If the last call didn't fail, it makes a call of its own:
+// a store that has stopped answering doesn't end a running watch, so it can take many seconds until a call fails.
+func (e *Elector) ProbeStore(ctx context.Context) bool {
+	if e.StoreFailing() {
 		return false
 	}
-	_, err := l.opt.Store.Get(ctx, keyTerm)
-	l.recordStoreResult(err)
-	return !l.StoreFailing()
+	_, err := e.opt.Store.Get(ctx, keyTerm)
+	e.recordStoreResult(err)
+	return !e.StoreFailing()
 }
 
-func (l *Elector) recordStoreResult(err error) {
+// recordStoreResult records from the error of a call whether the store answered it.
+func (e *Elector) recordStoreResult(err error) {
 	answered := err == nil
-	for _, known := range []error{store.ErrNotFound, store.ErrConflict, store.ErrLapsed, store.ErrCompacted} {
-		answered = answered || errors.Is(err, known)
+	for _, answer := range []error{store.ErrNotFound, store.ErrConflict, store.ErrLapsed, store.ErrCompacted} {
+		answered = answered || errors.Is(err, answer)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if answered && l.storeFailing {
-		l.storeResumedAt = time.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if answered && e.storeFailing {
+		e.storeResumedAt = time.Now()
 	}
-	l.storeFailing = !answered
+	e.storeFailing = !answered
 }
 
-// setHolder notes the holder's key as it was at a revision.
-func (l *Elector) setHolder(h Holder, rev uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.tenure != nil && rev < l.tenure.claimRev {
-		return // of before this process's claim
+// setHolder sets the known holder as of a revision. If that is the holder of another claim, it ends this process's
+// tenure; if there is none, the tenure restores its key.
+func (e *Elector) setHolder(h Holder, rev uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.tenure != nil && rev < e.tenure.claimRev {
+		return // older than this process's claim
 	}
-	if l.holder == h {
+	if e.holder == h {
 		return
 	}
 	if h.Name == "" {
-		l.formerHolder = l.holder
+		e.formerHolder = e.holder
 	}
-	l.holder = h
-	close(l.changed)
-	l.changed = make(chan struct{})
+	e.holder = h
+	close(e.changed)
+	e.changed = make(chan struct{})
 	switch {
-	case l.tenure == nil:
+	case e.tenure == nil:
 	case h.Name == "":
-		l.tenure.notifyKeyDeleted()
-	case h.ClaimID != l.tenure.claim.ClaimID:
-		l.tenure.cancel()
-		l.tenure = nil
+		e.tenure.notifyKeyDeleted()
+	case h.ClaimID != e.tenure.claim.ClaimID:
+		e.tenure.cancel()
+		e.tenure = nil
 	}
 }
 
-// Run follows the holder's key until ctx ends. While this process holds, serve runs; it
-// must return when the tenure is over.
-func (l *Elector) Run(ctx context.Context, serve func(*Tenure)) {
+// Run watches the holder's key, and claims it when it is vacant, until ctx ends. It calls serve each time this process
+// becomes the holder; serve must return when the tenure ends.
+func (e *Elector) Run(ctx context.Context, serve func(*Tenure)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for ctx.Err() == nil {
-		rev, err := l.readStore(ctx)
+		rev, err := e.readStore(ctx)
 		if err != nil {
 			wait.For(ctx, retryInterval)
 			continue
 		}
 		for ctx.Err() == nil {
-			if l.vacant() {
-				rev = l.claim(ctx, rev, &wg, serve)
+			if e.vacant() {
+				rev = e.claim(ctx, rev, &wg, serve)
 			}
-			if rev, err = l.watchHolder(ctx, rev, watchTimeout); err != nil {
+			if rev, err = e.watchHolder(ctx, rev, watchTimeout); err != nil {
 				break
 			}
 		}
 	}
 }
 
-// readStore reads who holds, the term and the load, and returns the revision to watch from.
-func (l *Elector) readStore(ctx context.Context) (uint64, error) {
-	p, err := l.opt.Store.Range(ctx, keyPrefix)
-	l.recordStoreResult(err)
+// readStore reads the holder, the term and the load, and returns the revision to watch from.
+func (e *Elector) readStore(ctx context.Context) (uint64, error) {
+	p, err := e.opt.Store.Range(ctx, keyPrefix)
+	e.recordStoreResult(err)
 	if err != nil {
 		return 0, err
 	}
 	var holder *store.Entry
-	var rec storedState
-	for i, e := range p.Entries {
-		switch e.Key {
+	var stored storedState
+	for i, entry := range p.Entries {
+		switch entry.Key {
 		case keyHolder:
 			holder = &p.Entries[i]
 		case keyTerm:
-			rec.termRev = e.Rev
-			if err := json.Unmarshal(e.Value, &rec.term); err != nil {
-				l.opt.Log.Error(err, "term not understood")
-				return 0, errors.Wrap(err, "lead: term")
+			stored.termRev = entry.Rev
+			if err := json.Unmarshal(entry.Value, &stored.term); err != nil {
+				e.opt.Log.Error(err, "cannot decode the term")
+				return 0, errors.Wrap(err, "lead: decode term")
 			}
 		case keyLoad:
-			if err := json.Unmarshal(e.Value, &rec.load); err != nil {
-				l.opt.Log.Error(err, "load not understood, taken as unknown")
-				rec.load = 0
+			if err := json.Unmarshal(entry.Value, &stored.load); err != nil {
+				e.opt.Log.Error(err, "cannot decode the load, treating it as unknown")
+				stored.load = 0
 			}
 		}
 	}
-	l.mu.Lock()
-	l.stored = rec
-	l.mu.Unlock()
+	e.mu.Lock()
+	e.stored = stored
+	e.mu.Unlock()
 	if holder == nil {
-		l.setHolder(Holder{}, p.Rev)
+		e.setHolder(Holder{}, p.Rev)
 		return p.Rev, nil
 	}
-	return p.Rev, l.setHolderFromEntry(*holder)
+	return p.Rev, e.setHolderFromEntry(*holder)
 }
 
-func (l *Elector) setHolderFromEntry(e store.Entry) error {
+// setHolderFromEntry sets the known holder from the value of its key.
+func (e *Elector) setHolderFromEntry(entry store.Entry) error {
 	var h Holder
-	if err := json.Unmarshal(e.Value, &h); err != nil {
-		l.opt.Log.Error(err, "holder's key not understood")
-		return errors.Wrap(err, "lead")
+	if err := json.Unmarshal(entry.Value, &h); err != nil {
+		e.opt.Log.Error(err, "cannot decode the holder")
+		return errors.Wrap(err, "lead: decode holder")
 	}
-	l.setHolder(h, e.Rev)
+	e.setHolder(h, entry.Rev)
 	return nil
 }
 
-// watchHolder waits up to limit for changes of the holder's key after a revision and returns the next one
-// to watch from. What is known then has been confirmed by the store.
-func (l *Elector) watchHolder(ctx context.Context, rev uint64, limit time.Duration) (uint64, error) {
+// watchHolder waits until the holder's key changes after a revision, at most for the timeout, and returns the revision
+// to watch from next. When it returns without an error, the store has confirmed the known holder.
+func (e *Elector) watchHolder(ctx context.Context, rev uint64, timeout time.Duration) (uint64, error) {
 	wctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	changes, next, err := l.opt.Store.Watch(wctx, keyHolder, rev, limit)
-	l.recordStoreResult(err)
+	changes, next, err := e.opt.Store.Watch(wctx, keyHolder, rev, timeout)
+	e.recordStoreResult(err)
 	if err != nil {
 		return 0, err
 	}
 	for _, c := range changes {
 		if c.Deleted {
-			l.setHolder(Holder{}, c.Rev)
-		} else if err := l.setHolderFromEntry(c.Entry); err != nil {
+			e.setHolder(Holder{}, c.Rev)
+		} else if err := e.setHolderFromEntry(c.Entry); err != nil {
 			return 0, err
 		}
 	}
 	if len(changes) == 0 {
-		// A silent watch confirms nothing: the store may have cut it from its news.
-		return l.readStore(ctx)
+		// A watch without changes doesn't confirm the holder: the store may have stopped sending changes to it.
+		return e.readStore(ctx)
 	}
 	return next, nil
 }
 
-func (l *Elector) vacant() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.holder.Name == "" && l.tenure == nil
+// vacant reports whether there is no holder as far as is known here, and this process has no tenure.
+func (e *Elector) vacant() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.holder.Name == "" && e.tenure == nil
 }
 
-// SuspendClaims keeps this process from claiming for a while; a longer rest stays.
-func (l *Elector) SuspendClaims(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if until := time.Now().Add(d); until.After(l.noClaimBefore) {
-		l.noClaimBefore = until
+// SuspendClaims keeps this process from claiming for a duration. It doesn't shorten an earlier suspension.
+func (e *Elector) SuspendClaims(d time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if until := time.Now().Add(d); until.After(e.noClaimBefore) {
+		e.noClaimBefore = until
 	}
 }
 
-// claimDelay returns how long a process that carries so much of a load leaves a vacant key to others that carry more.
+// claimDelay returns how long a process with a capacity leaves a vacant key to processes with more capacity. The delay
+// is proportional to the share of the load that it lacks capacity for; it is 0 if the capacity isn't known.
 //
-// The failure it guards against: a process that can't do the work of the load wins the race for
-// the key. Starved, it is late with orders and with the leases of workers, whose runs lapse, and
-// loses its own lease; then the next such process wins. With claimDelay, whoever can carry the load
-// has claimed before, and where nobody can, the one that can carry most does.
-func claimDelay(carries, load int) time.Duration {
-	if carries <= 0 || carries >= load {
+// Without the delay, a process that lacks the capacity for the load may win the race for the key. Overloaded, it is late
+// with orders and with renewing the leases of workers, whose runs expire, and loses its own lease; then the next such
+// process wins. With the delay, a process with enough capacity claims first or, if there is none, the one with the most.
+func claimDelay(capacity, load int) time.Duration {
+	if capacity <= 0 || capacity >= load {
 		return 0
 	}
-	short := 1 - float64(carries)/float64(load)
-	return time.Duration(short * float64(maxClaimDelay))
+	shortfall := 1 - float64(capacity)/float64(load)
+	return time.Duration(shortfall * float64(maxClaimDelay))
 }
 
-func (l *Elector) storedLoad() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.stored.load
+// storedLoad returns the load of the newest holder as last read, or 0 if it isn't known.
+func (e *Elector) storedLoad() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.stored.load
 }
 
-// deferClaim leaves a vacant key to others for this process's rest and patience. It watches meanwhile:
-// callers are refused here for as long as a new holder isn't known. It returns the revision to
-// watch from, how much this process carries and whether the key is still vacant by the store's newest word.
-func (l *Elector) deferClaim(ctx context.Context, rev uint64) (uint64, int, bool) {
-	began := time.Now()
-	told := false
+// deferClaim leaves a vacant key to others while this process's claims are suspended and for its claim delay. It watches
+// the key in the meantime, as this process refuses its callers until it knows a new holder. It returns the revision to
+// watch from, this process's capacity, and whether the key is still vacant by the store's latest answer.
+func (e *Elector) deferClaim(ctx context.Context, rev uint64) (uint64, int, bool) {
+	start := time.Now()
+	logged := false
 	for {
-		carries := l.opt.Capacity()
-		if p := claimDelay(carries, l.storedLoad()); p > 0 && !told {
-			l.opt.Log.Info("claim waits", "patience", p, "carries", carries, "load", l.storedLoad())
-			told = true
+		capacity := e.opt.Capacity()
+		if delay := claimDelay(capacity, e.storedLoad()); delay > 0 && !logged {
+			e.opt.Log.Info("claim waits", "patience", delay, "carries", capacity, "load", e.storedLoad())
+			logged = true
 		}
-		next, err := l.watchOrRead(ctx, rev, l.remainingDelay(began, carries))
+		next, err := e.watchOrRead(ctx, rev, e.remainingDelay(start, capacity))
 		if err != nil {
-			return rev, carries, false
+			return rev, capacity, false
 		}
 		rev = next
-		if !l.vacant() {
-			return rev, carries, false
+		if !e.vacant() {
+			return rev, capacity, false
 		}
-		// The load may have become known only now.
-		if l.remainingDelay(began, carries) <= 0 {
-			return rev, carries, true
+		// The load may have become known only during the wait.
+		if e.remainingDelay(start, capacity) <= 0 {
+			return rev, capacity, true
 		}
 	}
 }
 
-// remainingDelay returns how long this process, which carries so much, goes on leaving a key to others that it has found
-// vacant at began.
-func (l *Elector) remainingDelay(began time.Time, carries int) time.Duration {
-	l.mu.Lock()
-	rest := time.Until(l.noClaimBefore)
-	l.mu.Unlock()
-	return max(rest, claimDelay(carries, l.storedLoad())-time.Since(began))
+// remainingDelay returns how long this process must still wait before it claims a key that it found vacant at start. It
+// is zero or negative if there is nothing to wait for.
+func (e *Elector) remainingDelay(start time.Time, capacity int) time.Duration {
+	e.mu.Lock()
+	suspension := time.Until(e.noClaimBefore)
+	e.mu.Unlock()
+	return max(suspension, claimDelay(capacity, e.storedLoad())-time.Since(start))
 }
 
-// watchOrRead follows the holder's key for a while, or reads it if there is no time to wait.
-func (l *Elector) watchOrRead(ctx context.Context, rev uint64, d time.Duration) (uint64, error) {
+// watchOrRead watches the holder's key for a duration, or reads it at once if the duration isn't positive.
+func (e *Elector) watchOrRead(ctx context.Context, rev uint64, d time.Duration) (uint64, error) {
 	if d <= 0 {
-		return l.readStore(ctx)
+		return e.readStore(ctx)
 	}
-	return l.watchHolder(ctx, rev, min(d, watchTimeout))
+	return e.watchHolder(ctx, rev, min(d, watchTimeout))
 }
 
-// claim tries to become the holder; it returns the revision to watch from.
-func (l *Elector) claim(ctx context.Context, rev uint64, wg *sync.WaitGroup, serve func(*Tenure)) uint64 {
+// claim tries to become the holder and, on success, starts serve and the renewal of the lease. It returns the revision
+// to watch from.
+func (e *Elector) claim(ctx context.Context, rev uint64, wg *sync.WaitGroup, serve func(*Tenure)) uint64 {
 	if !wait.For(ctx, rand.N(claimJitter)) {
 		return rev
 	}
-	rev, carries, vacant := l.deferClaim(ctx, rev)
-	if !vacant || l.waitForFormerHolder(ctx) {
+	rev, capacity, vacant := e.deferClaim(ctx, rev)
+	if !vacant || e.waitForFormerHolder(ctx) {
 		return rev
 	}
-	t, err := l.commitClaim(ctx)
+	t, err := e.commitClaim(ctx)
 	if err != nil {
 		if !errors.Is(err, store.ErrConflict) {
-			l.opt.Log.Info("claim failed", "cause", err.Error())
+			e.opt.Log.Info("claim failed", "cause", err.Error())
 			wait.For(ctx, retryInterval)
 		}
-		if _, err := l.readStore(ctx); err != nil {
+		if _, err := e.readStore(ctx); err != nil {
 			wait.For(ctx, retryInterval)
 		}
 		return rev
 	}
-	l.mu.Lock()
-	l.tenure = t
-	l.mu.Unlock()
-	l.setHolder(t.claim, t.lastWriteRev)
-	l.opt.Log.Info("holder", "term", t.claim.Term, "carries", carries, "load", t.claimLoad, "patience", claimDelay(carries, t.claimLoad))
+	e.mu.Lock()
+	e.tenure = t
+	e.mu.Unlock()
+	e.setHolder(t.claim, t.lastWriteRev)
+	e.opt.Log.Info("holder", "term", t.claim.Term, "carries", capacity, "load", t.claimLoad, "patience", claimDelay(capacity, t.claimLoad))
 	wg.Go(func() {
 		serve(t)
-		l.mu.Lock()
-		if l.tenure == t {
-			l.tenure = nil
+		e.mu.Lock()
+		if e.tenure == t {
+			e.tenure = nil
 		}
-		l.mu.Unlock()
+		e.mu.Unlock()
 	})
 	wg.Go(func() { t.renewLoop() })
 	return rev
 }
 
-// waitForFormerHolder reports whether the former holder has its key back. After an outage of the store, in
-// which all leases may have lapsed, it is at work, and a change would cost more than the wait.
-// Where the store was there all along, the former holder is what has failed.
-func (l *Elector) waitForFormerHolder(ctx context.Context) bool {
-	l.mu.Lock()
-	former := l.formerHolder
-	outage := time.Since(l.storeResumedAt) < outageWindow
-	l.mu.Unlock()
+// waitForFormerHolder waits for a running former holder to restore its key and reports whether the claim must be
+// dropped, as the key isn't vacant any more, the store can't be read or ctx has ended. After an outage of the store, in
+// which all leases may have expired, the former holder may still be running, and a change of holder would cost more than
+// the wait. Without an outage, the former holder itself has failed, and there is no wait.
+func (e *Elector) waitForFormerHolder(ctx context.Context) bool {
+	e.mu.Lock()
+	former := e.formerHolder
+	outage := time.Since(e.storeResumedAt) < outageWindow
+	e.mu.Unlock()
 	for range restoreChecks {
-		if !outage || former.Name == "" || l.opt.HolderAlive == nil || !l.opt.HolderAlive(ctx, former) {
+		if !outage || former.Name == "" || e.opt.HolderAlive == nil || !e.opt.HolderAlive(ctx, former) {
 			return false
 		}
 		if !wait.For(ctx, retryInterval) {
 			return true
 		}
-		if _, err := l.readStore(ctx); err != nil || !l.vacant() {
+		if _, err := e.readStore(ctx); err != nil || !e.vacant() {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *Elector) commitClaim(ctx context.Context) (*Tenure, error) {
-	l.mu.Lock()
-	rec := l.stored
-	l.mu.Unlock()
-	lease, err := l.opt.Store.Open(ctx, l.opt.LeaseTTL)
+// commitClaim opens a lease and writes this process's claim to the store, on the condition that there is no holder and
+// the term is as last read.
+func (e *Elector) commitClaim(ctx context.Context) (*Tenure, error) {
+	e.mu.Lock()
+	stored := e.stored
+	e.mu.Unlock()
+	lease, err := e.opt.Store.Open(ctx, e.opt.LeaseTTL)
 	if err != nil {
 		return nil, err
 	}
-	h := Holder{l.opt.Name, l.opt.Addr, rec.term + 1, uuid.NewString()}
+	h := Holder{e.opt.Name, e.opt.Addr, stored.term + 1, uuid.NewString()}
 	value, err := json.Marshal(h)
 	if err != nil {
 		return nil, errors.Wrap(err, "lead")
 	}
-	next, err := json.Marshal(h.Term)
+	term, err := json.Marshal(h.Term)
 	if err != nil {
 		return nil, errors.Wrap(err, "lead")
 	}
 	sent := time.Now()
-	rev, err := l.opt.Store.Commit(ctx, store.Txn{
-		If: []store.Cond{{Key: keyHolder}, {Key: keyTerm, Rev: rec.termRev}},
+	rev, err := e.opt.Store.Commit(ctx, store.Txn{
+		If: []store.Cond{{Key: keyHolder}, {Key: keyTerm, Rev: stored.termRev}},
 		Do: []store.Write{
 			{Key: keyHolder, Value: value, Lease: lease},
-			{Key: keyTerm, Value: next},
+			{Key: keyTerm, Value: term},
 			{Key: keyLastWrite, Value: writeID{h.ClaimID, 0}.encode()},
 		},
 	})
 	if errors.Is(err, store.ErrUnknown) {
-		rev, err = l.resolveClaim(ctx, h)
+		rev, err = e.resolveClaim(ctx, h)
 	}
 	if err != nil {
 		return nil, err
 	}
 	tctx, cancel := context.WithCancel(ctx)
-	return &Tenure{elector: l, claim: h, leaseID: lease, claimRev: rev, lastWriteRev: rev, ctx: tctx, cancel: cancel, confirmedAt: sent, claimLoad: rec.load, keyDeleted: make(chan struct{}, 1), writeSlot: make(chan struct{}, 1)}, nil
+	return &Tenure{elector: e, claim: h, leaseID: lease, claimRev: rev, lastWriteRev: rev, ctx: tctx, cancel: cancel, confirmedAt: sent, claimLoad: stored.load, keyDeleted: make(chan struct{}, 1), writeSlot: make(chan struct{}, 1)}, nil
 }
 
-// resolveClaim finds out whether a claim without an answer took effect.
-func (l *Elector) resolveClaim(ctx context.Context, h Holder) (uint64, error) {
+// resolveClaim finds out whether a claim whose call got no answer took effect, and returns its revision if it did.
+func (e *Elector) resolveClaim(ctx context.Context, h Holder) (uint64, error) {
 	for range renewalsPerLease {
-		e, err := l.opt.Store.Get(ctx, keyLastWrite)
+		entry, err := e.opt.Store.Get(ctx, keyLastWrite)
 		switch {
 		case err == nil:
-			if parseWriteID(e.Value).ClaimID == h.ClaimID {
-				return e.Rev, nil
+			if parseWriteID(entry.Value).ClaimID == h.ClaimID {
+				return entry.Rev, nil
 			}
 			return 0, store.ErrConflict
 		case errors.Is(err, store.ErrNotFound):
--- a/internal/ctrl/lead/tenure.go
+++ b/internal/ctrl/lead/tenure.go
@@ -13,70 +13,72 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// writeID is the value of the chain's key: whose write it was and which.
+// writeID identifies a write of a holder; it is the value of keyLastWrite.
 type writeID struct {
-	ClaimID string `json:"once"`
-	Seq     int64  `json:"seq"`
+	ClaimID string `json:"once"` // of the holder that wrote
+	Seq     int64  `json:"seq"`  // sequence number within the tenure; 0: the claim itself
 }
 
-func (k writeID) encode() []byte {
-	b, err := json.Marshal(k)
+// encode returns the writeID in JSON.
+func (w writeID) encode() []byte {
+	b, err := json.Marshal(w)
 	if err != nil {
-		panic("lead: a link can always be encoded: " + err.Error())
+		panic("lead: a writeID can always be encoded: " + err.Error())
 	}
 	return b
 }
 
-// parseWriteID returns the zero link for a value that isn't one, which is nobody's.
+// parseWriteID decodes a writeID. For an invalid value it returns the zero writeID, which belongs to no holder.
 func parseWriteID(b []byte) writeID {
-	var k writeID
-	if json.Unmarshal(b, &k) != nil {
+	var w writeID
+	if json.Unmarshal(b, &w) != nil {
 		return writeID{}
 	}
-	return k
+	return w
 }
 
-// Tenure is this process's time as the holder.
+// Tenure is the time during which this process is the holder, from one claim to its end.
 type Tenure struct {
-	elector    *Elector
-	claim      Holder
-	claimRev   uint64        // revision of the claim
-	claimLoad  int           // as recorded at the claim
-	keyDeleted chan struct{} // the holder's key has vanished
-	ctx        context.Context
+	elector    *Elector        // that made the claim
+	claim      Holder          // as written to the store
+	claimRev   uint64          // revision of the claim
+	claimLoad  int             // load stored at the time of the claim; 0: not known
+	keyDeleted chan struct{}   // signals that the holder's key was deleted
+	ctx        context.Context // ends with the tenure
 	cancel     context.CancelFunc
 
-	writeSlot    chan struct{} // holds one token: one write at a time, as each depends on the one before
-	lastWriteRev uint64
-	lastWriteSeq int64
+	writeSlot    chan struct{} // semaphore for one commit at a time, as each depends on the one before
+	lastWriteRev uint64        // revision of the last write; guarded by writeSlot
+	lastWriteSeq int64         // sequence number of the last write; guarded by writeSlot
 
 	mu          sync.Mutex
-	leaseID     string
-	confirmedAt time.Time
+	leaseID     string    // lease that the holder's key is bound to
+	confirmedAt time.Time // see ConfirmedAt
 }
 
-// Context ends with the tenure.
+// Context returns a context that ends with the tenure.
 func (t *Tenure) Context() context.Context { return t.ctx }
 
-// Term returns the tenure's term.
+// Term returns the term of the tenure.
 func (t *Tenure) Term() int64 { return t.claim.Term }
 
-// Load returns the load that was recorded at the claim, 0 if none was.
+// Load returns the load of the former holder as stored at the time of the claim, or 0 if it isn't known.
 func (t *Tenure) Load() int { return t.claimLoad }
 
-// LoadWrite returns the write that records how much the holder carries. Processes that may claim
-// later compare it with what they can carry.
+// LoadWrite returns the write that stores the holder's load, as a number of workers. Processes that may claim later
+// compare it with their capacity.
 func LoadWrite(load int) store.Write {
 	return store.Write{Key: keyLoad, Value: strconv.AppendInt(nil, int64(load), 10)}
 }
 
-// ConfirmedAt returns when the store last confirmed the tenure.
+// ConfirmedAt returns the time of the last call by which the store confirmed the tenure, taken before the call.
 func (t *Tenure) ConfirmedAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.confirmedAt
 }
 
+// setConfirmedAt sets the time of the last confirmation, unless a later one is known.
 func (t *Tenure) setConfirmedAt(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,27 +87,28 @@
 	}
 }
 
-// End ends the tenure, as when a worker's fence shows that there is a newer holder.
+// End ends the tenure without deleting the holder's key, for instance when a worker has been fenced by a newer holder.
 func (t *Tenure) End() {
 	t.cancel()
 }
 
-// Resign ends the tenure and gives up the holder's key, so that another takes over at once.
+// Resign ends the tenure and deletes the holder's key, so that another process can take over at once.
 func (t *Tenure) Resign(ctx context.Context) error {
 	t.cancel()
 	return t.elector.opt.Store.Close(ctx, t.currentLease())
 }
 
-// MaxWrites is how many writes one Commit takes.
+// MaxWrites is the largest number of writes in one Commit. The transaction also has a condition on keyLastWrite and a
+// write of it.
 const MaxWrites = store.MaxTxn - 2
 
-// Commit carries out writes if this process is still the holder; ErrLost when it isn't. It
-// goes on until the outcome is certain or the tenure is over.
+// Commit carries out writes in one transaction if this process is still the holder, and returns ErrNotHolder if it isn't.
+// It retries until the outcome is certain or the tenure ends.
 //
-// The failure it guards against: a write without an answer is carried out seconds later, over
-// a newer one, or a former holder's last write arrives after its successor has read. Each
-// write demands that the one before is the chain's newest, so that either can't be.
-func (t *Tenure) Commit(do []store.Write) error {
+// Each commit is conditional on the previous one being the last write in the store. Otherwise, a write whose call got no
+// answer could be carried out seconds later, over a newer one, or a former holder's last write could arrive after its
+// successor has read the store.
+func (t *Tenure) Commit(writes []store.Write) error {
 	select {
 	case t.writeSlot <- struct{}{}:
 		defer func() { <-t.writeSlot }()
@@ -113,16 +116,16 @@
 		return errors.Wrap(ErrNotHolder, "tenure over")
 	}
 	t.lastWriteSeq++
-	k := writeID{t.claim.ClaimID, t.lastWriteSeq}
+	id := writeID{t.claim.ClaimID, t.lastWriteSeq}
 	txn := store.Txn{
 		If: []store.Cond{{Key: keyLastWrite, Rev: t.lastWriteRev}},
-		Do: append([]store.Write{{Key: keyLastWrite, Value: k.encode()}}, do...),
+		Do: append([]store.Write{{Key: keyLastWrite, Value: id.encode()}}, writes...),
 	}
 	for {
 		sent := time.Now()
 		rev, err := t.elector.opt.Store.Commit(t.ctx, txn)
 		if errors.Is(err, store.ErrConflict) {
-			rev, err = t.resolveConflict(k)
+			rev, err = t.resolveConflict(id)
 		}
 		t.elector.recordStoreResult(err)
 		switch {
@@ -144,59 +147,61 @@
 	}
 }
 
-// resolveConflict finds out, after a conflict, whether the chain's newest write is k itself, sent
-// before without an answer.
-func (t *Tenure) resolveConflict(k writeID) (uint64, error) {
-	e, err := t.elector.opt.Store.Get(t.ctx, keyLastWrite)
+// resolveConflict finds out, after a conflict, whether the last write in the store is the write id itself, carried out
+// by an earlier call that got no answer. If so, it returns the revision of the write; if another claim wrote last, it
+// returns ErrNotHolder.
+func (t *Tenure) resolveConflict(id writeID) (uint64, error) {
+	entry, err := t.elector.opt.Store.Get(t.ctx, keyLastWrite)
 	if err != nil {
 		return 0, err
 	}
-	switch got := parseWriteID(e.Value); {
-	case got == k:
-		return e.Rev, nil
-	case got.ClaimID != k.ClaimID:
+	switch got := parseWriteID(entry.Value); {
+	case got == id:
+		return entry.Rev, nil
+	case got.ClaimID != id.ClaimID:
 		return 0, ErrNotHolder
-	case e.Rev != t.lastWriteRev:
-		return 0, errors.Errorf("lead: the chain is at %d, expected %d", got.Seq, k.Seq)
+	case entry.Rev != t.lastWriteRev:
+		return 0, errors.Errorf("lead: the chain is at %d, expected %d", got.Seq, id.Seq)
 	}
 	return 0, store.ErrConflict
 }
 
-// renewLoop renews the lease until the tenure is over. It doesn't wait for one renewal's answer with the next:
-// a connection to the store may go silent, and a store that is slow may take nearly the lease for each.
+// renewLoop renews the lease until the tenure ends, and restores the holder's key when it was deleted or its lease has
+// expired. It starts each renewal without waiting for the answer to the one before: a connection to the store may stop
+// responding, and a slow store may take nearly the lease's TTL for each renewal.
 func (t *Tenure) renewLoop() {
 	tick := time.NewTicker(t.elector.opt.LeaseTTL / renewalsPerLease)
 	defer tick.Stop()
-	lapsed := make(chan struct{}, 1)
+	expired := make(chan struct{}, 1)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	under := make(chan struct{}, renewalsPerLease)
+	inFlight := make(chan struct{}, renewalsPerLease)
 	for {
 		select {
 		case <-t.ctx.Done():
 			return
 		case <-t.keyDeleted:
 			t.restoreKey()
-		case <-lapsed:
+		case <-expired:
 			t.elector.opt.Log.Info("lease lapsed", "term", t.claim.Term)
 			t.restoreKey()
 		case <-tick.C:
 			select {
-			case under <- struct{}{}:
+			case inFlight <- struct{}{}:
 			default:
-				continue // enough of them wait for an answer
+				continue // renewalsPerLease renewals are already in flight
 			}
 			wg.Go(func() {
-				defer func() { <-under }()
+				defer func() { <-inFlight }()
 				if t.renewLease() {
-					wait.Kick(lapsed)
+					wait.Kick(expired)
 				}
 			})
 		}
 	}
 }
 
-// renewLease renews the present lease once and reports whether that has lapsed.
+// renewLease renews the current lease once and reports whether it has expired.
 func (t *Tenure) renewLease() bool {
 	lease := t.currentLease()
 	sent := time.Now()
@@ -215,17 +220,17 @@
 	return t.leaseID
 }
 
-// notifyKeyDeleted tells that the holder's key is gone.
+// notifyKeyDeleted tells renewLoop that the holder's key was deleted.
 func (t *Tenure) notifyKeyDeleted() {
 	wait.Kick(t.keyDeleted)
 }
 
-// restoreKey writes the holder's key anew after its lease has lapsed, as it may while the store
-// is down. Where another process was faster, the tenure ends.
+// restoreKey writes the holder's key again with a new lease, as the lease may expire during an outage of the store. If
+// another process has claimed the key in the meantime, the tenure ends.
 func (t *Tenure) restoreKey() {
 	lease, err := t.elector.opt.Store.Open(t.ctx, t.elector.opt.LeaseTTL)
 	if err != nil {
-		t.elector.opt.Log.Info("no lease", "cause", err.Error())
+		t.elector.opt.Log.Info("cannot open a lease", "cause", err.Error())
 		return
 	}
 	value, err := json.Marshal(t.claim)
@@ -233,7 +238,7 @@
 		panic("lead: a holder can always be encoded: " + err.Error())
 	}
 	if err := t.Commit([]store.Write{{Key: keyHolder, Value: value, Lease: lease}}); err != nil {
-		t.elector.opt.Log.Info("not restored", "cause", err.Error())
+		t.elector.opt.Log.Info("cannot restore the holder's key", "cause", err.Error())
 		return
 	}
 	t.mu.Lock()
--- a/internal/ctrl/lead/tenure_test.go
+++ b/internal/ctrl/lead/tenure_test.go
@@ -17,16 +17,17 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// clientTimeout is the time after which a host's client gives a call of the store up.
+// clientTimeout is the time after which a host's client abandons a call to the store.
 const clientTimeout = time.Second
 
-// silentStore is a way to the store on which some renewals get no answer, as on a connection that has gone
-// silentStore: the next one is made on a new connection.
+// silentStore is a store client on which some renewals get no answer, as on a connection that has stopped responding.
+// The next renewal works, as on a new connection.
 type silentStore struct {
 	store.Multi
-	unanswered atomic.Int64 // renewals to come that get none
+	unanswered atomic.Int64 // number of renewals to come that get no answer
 }
 
+// Renew implements store.Multi.
 func (s *silentStore) Renew(ctx context.Context, lease string) error {
 	if s.unanswered.Add(-1) >= 0 {
 		wait.For(ctx, clientTimeout)
@@ -35,23 +36,23 @@
 	return s.Multi.Renew(ctx, lease)
 }
 
-// The store answers each call within half a lease, which is slow and no more: the holder keeps its key, and its last
-// confirmation is never older than a call and the pause between two.
+// A slow store answers each call after half the lease's TTL. The holder must keep its key, and its last confirmation must
+// never be older than the duration of a call plus the interval between two renewals.
 func TestSlowRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := &multi.Service{}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var wg sync.WaitGroup
-		held := make(chan *lead.Tenure, 10)
-		l := lead.New(lead.Options{Store: service.Client(nil), Name: "a", Addr: "a", LeaseTTL: 1200 * time.Millisecond, Log: logr.Discard()})
+		tenures := make(chan *lead.Tenure, 10)
+		elector := lead.New(lead.Options{Store: service.Client(nil), Name: "a", Addr: "a", LeaseTTL: 1200 * time.Millisecond, Log: logr.Discard()})
 		wg.Go(func() {
-			l.Run(ctx, func(t *lead.Tenure) {
-				held <- t
+			elector.Run(ctx, func(t *lead.Tenure) {
+				tenures <- t
 				<-t.Context().Done()
 			})
 		})
-		tenure := <-held
+		tenure := <-tenures
 		time.Sleep(time.Second)
 		const delay = 600 * time.Millisecond
 		service.SetDelay(delay)
@@ -59,10 +60,10 @@
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			if age := time.Since(tenure.ConfirmedAt()); age > delay+300*time.Millisecond {
-				t.Fatalf("last confirmed %v ago", age)
+				t.Fatalf("last confirmation is %v old", age)
 			}
 		}
-		if len(held) > 0 {
+		if len(tenures) > 0 {
 			t.Error("the holder lost its key")
 		}
 		cancel()
@@ -70,23 +71,23 @@
 	})
 }
 
-// A holder's connection to the store goes silent, without a reset. Its renewal hung for as long as a call may
-// take, which is nearly the whole lease: it lost its key, and all workers were taken over by
-// another host for nothing. The next renewal, on a new connection, comes in time.
+// A holder's connection to the store stops responding without a reset, so that a renewal hangs until the client's
+// timeout, which is nearly the whole lease. The holder must not lose its key, which would make another host take over all
+// workers without need: the next renewal, on a new connection, must be in time.
 func TestSilentRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := &multi.Service{}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var wg sync.WaitGroup
-		var ways []*silentStore
+		var clients []*silentStore
 		var terms sync.Map
 		for i := range 2 {
-			way := &silentStore{Multi: service.Client(nil)}
-			ways = append(ways, way)
-			l := lead.New(lead.Options{Store: way, Name: fmt.Sprint(i), Addr: fmt.Sprint(i), LeaseTTL: 1200 * time.Millisecond, Log: logr.Discard()})
+			client := &silentStore{Multi: service.Client(nil)}
+			clients = append(clients, client)
+			elector := lead.New(lead.Options{Store: client, Name: fmt.Sprint(i), Addr: fmt.Sprint(i), LeaseTTL: 1200 * time.Millisecond, Log: logr.Discard()})
 			wg.Go(func() {
-				l.Run(ctx, func(t *lead.Tenure) {
+				elector.Run(ctx, func(t *lead.Tenure) {
 					terms.Store(t.Term(), true)
 					<-t.Context().Done()
 				})
@@ -94,8 +95,8 @@
 		}
 		for range 20 {
 			time.Sleep(1700 * time.Millisecond)
-			for _, w := range ways {
-				w.unanswered.Store(1)
+			for _, client := range clients {
+				client.unanswered.Store(1)
 			}
 		}
 		cancel()
@@ -103,7 +104,7 @@
 		n := 0
 		terms.Range(func(any, any) bool { n++; return true })
 		if n != 1 {
-			t.Errorf("%d terms while single renewals got no answer, want one", n)
+			t.Errorf("%d terms while single renewals got no answer, want 1", n)
 		}
 	})
 }
