--- a/internal/batch/drive/commit.go
+++ b/internal/batch/drive/commit.go
@@ -12,47 +12,47 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// pendingCommit is one write with all that has gathered.
+// pendingCommit is one transaction of the store and what follows once it is stored.
 type pendingCommit struct {
 	writes         []store.Write
-	submissions    []*submission
-	batch          *sched.Batch
-	trackedWorkers []sched.Member
-	workerCount    int // the number of workers, as recorded with this write
-	recordWaiters  []chan struct{}
+	submissions    []*submission   // the jobs in it
+	batch          *sched.Batch    // the job records in it, and the acknowledgements that they allow
+	trackedWorkers []sched.Member  // the list of tracked workers in it; nil: unchanged
+	workerCount    int             // number of tracked workers, as stored by it
+	recordWaiters  []chan struct{} // closed once it is stored
 }
 
-// commitLoop stores what has changed until the tenure is over.
+// commitLoop stores changes until the tenure is over.
 func (h *Holder) commitLoop() {
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
 		case <-h.commitWake:
-			// Nobody waits for progress alone: a little later it is one call with more.
+			// No caller waits for progress records, so a short delay lets more changes share one call.
 			h.delayCommit()
 		case <-h.urgentCommit:
 		}
 		for {
-			r, err := h.collectCommit()
+			c, err := h.collectCommit()
 			if err != nil {
-				// What had been taken to be stored is known here only; the next holder starts from what is stored.
-				h.log.Error(err, "record can't be written")
+				// The changes collected so far are known to this process only. The next holder starts from the stored state.
+				h.log.Error(err, "encoding changes for the store failed; ending the tenure")
 				h.opt.Tenure.End()
 				return
 			}
-			if r == nil {
+			if c == nil {
 				break
 			}
-			if len(r.writes) > 0 && !h.writeCommit(r) {
+			if len(c.writes) > 0 && !h.writeCommit(c) {
 				return
 			}
-			h.finishCommit(r)
+			h.finishCommit(c)
 		}
 	}
 }
 
-// delayCommit waits for more to store, until a caller waits.
+// delayCommit waits for further changes to share a commit, up to commitDelay or until a caller waits.
 func (h *Holder) delayCommit() {
 	t := time.NewTimer(commitDelay)
 	defer t.Stop()
@@ -63,73 +63,75 @@
 	}
 }
 
-func (h *Holder) writeCommit(r *pendingCommit) bool {
-	err := h.opt.Tenure.Commit(r.writes)
+// writeCommit writes a commit to the store and reports whether it is stored. A failure ends the tenure.
+func (h *Holder) writeCommit(c *pendingCommit) bool {
+	err := h.opt.Tenure.Commit(c.writes)
 	if err == nil {
 		return true
 	}
-	h.log.Info("write failed", "cause", err.Error(), "writes", len(r.writes))
+	h.log.Info("write failed", "cause", err.Error(), "writes", len(c.writes))
 	h.opt.Tenure.End()
 	return false
 }
 
-// collectCommit takes what has to be stored, or returns nil when there is nothing.
+// collectCommit collects what has to be stored. It returns nil if there is nothing to store or acknowledge.
 func (h *Holder) collectCommit() (*pendingCommit, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := &pendingCommit{}
-	room := lead.MaxWrites
-	crew := h.core.TrackedWorkers()
-	if !sameMembers(crew, h.trackedWorkers) {
-		data, err := json.Marshal(crew)
+	c := &pendingCommit{}
+	free := lead.MaxWrites
+	tracked := h.core.TrackedWorkers()
+	if !sameMembers(tracked, h.trackedWorkers) {
+		data, err := json.Marshal(tracked)
 		if err != nil {
 			return nil, errors.Wrap(err, "drive")
 		}
-		r.trackedWorkers = crew
-		r.writes = append(r.writes, store.Write{Key: keyTrackedWorkers, Value: data})
-		room--
-	}
-	if r.workerCount = len(crew); r.workerCount != h.trackedCount {
-		r.writes = append(r.writes, lead.LoadWrite(r.workerCount))
-		room--
-	}
-	// Half of the room is kept for progress: a flood of hand-ins mustn't keep ends from being stored.
-	n := min(len(h.submissions), room/2)
-	r.submissions, h.submissions = h.submissions[:n:n], h.submissions[n:]
-	for _, s := range r.submissions {
+		c.trackedWorkers = tracked
+		c.writes = append(c.writes, store.Write{Key: keyTrackedWorkers, Value: data})
+		free--
+	}
+	if c.workerCount = len(tracked); c.workerCount != h.trackedCount {
+		c.writes = append(c.writes, lead.LoadWrite(c.workerCount))
+		free--
+	}
+	// Half of the writes are kept for progress, so that a flood of submissions can't keep ended runs from being stored.
+	n := min(len(h.submissions), free/2)
+	c.submissions, h.submissions = h.submissions[:n:n], h.submissions[n:]
+	for _, s := range c.submissions {
 		s.writing = true
-		r.writes = append(r.writes, store.Write{Key: jobPrefix + s.job.ID, Value: s.data})
+		c.writes = append(c.writes, store.Write{Key: jobPrefix + s.job.ID, Value: s.data})
 	}
 	var err error
-	if r.batch, err = h.core.CollectChanges((room - n) / 2); err != nil {
+	if c.batch, err = h.core.CollectChanges((free - n) / 2); err != nil {
 		return nil, err
 	}
-	for _, rec := range r.batch.Records {
-		r.writes = append(r.writes, store.Write{Key: progressPrefix + rec.ID, Value: rec.Data})
+	for _, rec := range c.batch.Records {
+		c.writes = append(c.writes, store.Write{Key: progressPrefix + rec.ID, Value: rec.Data})
 		if rec.Final {
-			r.writes = append(r.writes, store.Write{Key: jobPrefix + rec.ID, Delete: true})
+			c.writes = append(c.writes, store.Write{Key: jobPrefix + rec.ID, Delete: true})
 		}
-		r.recordWaiters = append(r.recordWaiters, h.recordWaiters[rec.ID]...)
+		c.recordWaiters = append(c.recordWaiters, h.recordWaiters[rec.ID]...)
 		delete(h.recordWaiters, rec.ID)
 	}
-	if len(r.writes) == 0 && r.batch.Empty() {
+	if len(c.writes) == 0 && c.batch.Empty() {
 		return nil, nil
 	}
-	// What has been learned goes along with a write that is due anyway.
-	if now := time.Now(); len(r.writes) > 0 && len(r.writes) < lead.MaxWrites && now.Sub(h.learnedModelStoredAt) > learnedModelInterval {
+	// The learned model is stored only with a commit that is due anyway.
+	if now := time.Now(); len(c.writes) > 0 && len(c.writes) < lead.MaxWrites && now.Sub(h.learnedModelStoredAt) > learnedModelInterval {
 		data, err := h.core.EncodeModel()
 		if err != nil {
 			return nil, err
 		}
 		h.learnedModelStoredAt = now
-		r.writes = append(r.writes, store.Write{Key: keyLearnedModel, Value: data})
+		c.writes = append(c.writes, store.Write{Key: keyLearnedModel, Value: data})
 	}
-	if len(r.writes) > 0 {
+	if len(c.writes) > 0 {
 		h.writeStarted = time.Now()
 	}
-	return r, nil
+	return c, nil
 }
 
+// sameMembers reports whether two lists name the same incarnations at the same addresses, in the same order.
 func sameMembers(a, b []sched.Member) bool {
 	if len(a) != len(b) {
 		return false
@@ -142,45 +144,45 @@
 	return true
 }
 
-// finishCommit has what follows from a write happen.
-func (h *Holder) finishCommit(r *pendingCommit) {
+// finishCommit applies a stored commit to the core and wakes those who waited for it.
+func (h *Holder) finishCommit(c *pendingCommit) {
 	now := time.Now()
 	h.mu.Lock()
 	h.writeStarted = time.Time{}
-	for _, s := range r.submissions {
+	for _, s := range c.submissions {
 		h.core.AddJob(now, s.job)
 		delete(h.submissionsByID, s.job.ID)
 		close(s.done)
 	}
-	h.core.MarkCommitted(r.batch)
-	if r.trackedWorkers != nil {
-		h.trackedWorkers = r.trackedWorkers
-		h.core.MarkTracked(r.trackedWorkers)
+	h.core.MarkCommitted(c.batch)
+	if c.trackedWorkers != nil {
+		h.trackedWorkers = c.trackedWorkers
+		h.core.MarkTracked(c.trackedWorkers)
 	}
-	h.trackedCount = r.workerCount
+	h.trackedCount = c.workerCount
 	close(h.commitDone)
 	h.commitDone = make(chan struct{})
 	h.mu.Unlock()
-	for _, w := range r.recordWaiters {
+	for _, w := range c.recordWaiters {
 		close(w)
 	}
 	h.requestPlan()
 }
 
-// forgetLoop drops jobs that ended long ago, here and in the store.
+// forgetLoop removes jobs that are past their retention from the core and the store.
 func (h *Holder) forgetLoop() {
 	for wait.For(h.ctx, forgetInterval) {
 		h.mu.Lock()
-		gone := h.core.ForgetJobs(time.Now(), h.opt.JobRetention)
+		ids := h.core.ForgetJobs(time.Now(), h.opt.JobRetention)
 		h.mu.Unlock()
-		for len(gone) > 0 {
-			n := min(len(gone), lead.MaxWrites)
-			var do []store.Write
-			for _, id := range gone[:n] {
-				do = append(do, store.Write{Key: progressPrefix + id, Delete: true})
+		for len(ids) > 0 {
+			n := min(len(ids), lead.MaxWrites)
+			var writes []store.Write
+			for _, id := range ids[:n] {
+				writes = append(writes, store.Write{Key: progressPrefix + id, Delete: true})
 			}
-			gone = gone[n:]
-			if err := h.opt.Tenure.Commit(do); err != nil {
+			ids = ids[n:]
+			if err := h.opt.Tenure.Commit(writes); err != nil {
 				return
 			}
 		}
--- a/internal/batch/drive/directory.go
+++ b/internal/batch/drive/directory.go
@@ -5,34 +5,34 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// directoryDecoder reads the directory. An entry is decoded once for each of its revisions.
+// directoryDecoder decodes the directory, each revision of an entry only once.
 type directoryDecoder struct {
-	decode func(store.Entry) (sched.Member, bool)
-	cache  map[string]cachedMember // by key
+	decode func(store.Entry) (sched.Member, bool) // returns false for an entry that names no worker
+	cache  map[string]cachedMember                // the entries decoded last, by key
 }
 
-// cachedMember is an entry of the directory as it was read.
+// cachedMember is a decoded entry of the directory.
 type cachedMember struct {
-	rev    uint64
-	member sched.Member
-	valid  bool
+	rev    uint64       // revision of the entry
+	member sched.Member // if valid
+	valid  bool         // the entry names a worker
 }
 
-// decodeAll returns the workers that the entries name.
-func (r *directoryDecoder) decodeAll(entries []store.Entry) []sched.Member {
-	known := make(map[string]cachedMember, len(entries))
-	all := make([]sched.Member, 0, len(entries))
+// decodeAll returns the workers that the entries name, in the order of the entries.
+func (d *directoryDecoder) decodeAll(entries []store.Entry) []sched.Member {
+	cache := make(map[string]cachedMember, len(entries))
+	members := make([]sched.Member, 0, len(entries))
 	for _, e := range entries {
-		d, ok := r.cache[e.Key]
-		if !ok || d.rev != e.Rev {
-			d = cachedMember{rev: e.Rev}
-			d.member, d.valid = r.decode(e)
+		m, ok := d.cache[e.Key]
+		if !ok || m.rev != e.Rev {
+			m = cachedMember{rev: e.Rev}
+			m.member, m.valid = d.decode(e)
 		}
-		known[e.Key] = d
-		if d.valid {
-			all = append(all, d.member)
+		cache[e.Key] = m
+		if m.valid {
+			members = append(members, m.member)
 		}
 	}
-	r.cache = known
-	return all
+	d.cache = cache
+	return members
 }
--- a/internal/batch/drive/doc.go
+++ b/internal/batch/drive/doc.go
@@ -1,3 +1,4 @@
-// Package drive has a holder's decisions carried out: it loads what the store holds, polls
-// at the workers, sends the orders, stores what has changed and answers callers.
+// Package drive carries out the decisions of the scheduling core (package sched) in the process that is
+// the holder. It loads the stored state, watches the operators' intent and the worker directory, polls the
+// workers, sends them orders, stores what has changed and replies to callers.
 package drive
--- a/internal/batch/drive/holder.go
+++ b/internal/batch/drive/holder.go
@@ -16,117 +16,118 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// WorkerClient speaks to the workers.
+// WorkerClient makes calls to the workers. The fence of a call is the fencing token: the term of the holder.
 type WorkerClient interface {
-	// Poll asks a worker for its report; wait is bounded by the poll's own.
-	Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome)
-	// SendOrder gives an order.
+	// Poll asks a worker for its report. The request says how long to wait for the answer.
+	Poll(ctx context.Context, req sched.PollRequest, fence int64) (sched.Report, sched.Outcome)
+	// SendOrder sends an order to its worker and returns the outcome.
 	SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome
 }
 
-// Intent is what operators have written.
+// Intent is what operators have written in the store.
 type Intent struct {
-	Config              sched.Config
-	HasConfig           bool            // there is a configuration
-	EvacuatedZones      map[string]bool // failure domains that are taken out
-	MaintenanceRequests []string        // rounds of upkeep of workers' hosts that operators ask for; none is served
+	Config              sched.Config    // valid if HasConfig
+	HasConfig           bool            // operators have written a configuration
+	EvacuatedZones      map[string]bool // failure domains that operators have taken out
+	MaintenanceRequests []string        // requested maintenance of workers' hosts; it isn't supported, so each request is logged as refused
 }
 
-// Codec reads what operators and workers have written in the store.
+// Codec decodes what operators and workers have written in the store.
 type Codec struct {
-	IntentPrefix    string
-	DecodeIntent    func([]store.Entry) (Intent, error)
-	DirectoryPrefix string
-	// DecodeMember reads a worker's entry in the directory; false says that it names none.
+	IntentPrefix    string                              // of the operators' keys
+	DecodeIntent    func([]store.Entry) (Intent, error) // from all entries below IntentPrefix
+	DirectoryPrefix string                              // of the directory's keys
+	// DecodeMember decodes a worker's entry in the directory. It returns false for an entry that names no worker.
 	DecodeMember func(store.Entry) (sched.Member, bool)
 }
 
-// Options of a Holder.
+// Options configures a Holder.
 type Options struct {
-	Store          store.Multi
-	Workers        WorkerClient
-	Codec          Codec
+	Store          store.Multi   // holds the jobs, their progress, the intent and the directory
+	Workers        WorkerClient  // reaches the workers
+	Codec          Codec         // decodes the intent and the directory
 	WorkerLease    time.Duration // granted to workers
 	MaxWorkerLease time.Duration // longest lease that workers grant
-	MaxUnconfirmed time.Duration // see sched.Options
+	MaxUnconfirmed time.Duration // how long tasks are started and leases granted after a confirmation
 	MaxStopTime    time.Duration // longest time that a worker takes to stop a run
-	JobRetention   time.Duration // for which ended jobs are known
+	JobRetention   time.Duration // how long ended jobs stay known
 	Log            logr.Logger
-	Tenure         *lead.Tenure
-	Scope          tally.Scope // nil: nothing is counted
-	// PeersConfirmedAt tells when most of this process's peers last reached the store as little as it
-	// did; nil: never.
+	Tenure         *lead.Tenure // this process's time as the holder
+	Scope          tally.Scope  // for metrics; nil: none
+	// PeersConfirmedAt returns when most peers of this process last confirmed that they reach the store
+	// no better than it does. If it is nil, peers never confirm the holder.
 	PeersConfirmedAt func() time.Time
 }
 
 // Keys in the store.
 const (
-	jobPrefix         = "job/"    // a job as it was handed in, below its id
-	progressPrefix    = "run/"    // its progress
+	jobPrefix         = "job/"    // followed by a job's id: the job as submitted
+	progressPrefix    = "run/"    // followed by a job's id: its progress
 	keyTrackedWorkers = "crew"    // the workers that may hold runs
-	keyLearnedModel   = "learned" // what has been learned of images
+	keyLearnedModel   = "learned" // what has been learned about images
 )
 
-// Times of a Holder's own.
+// Intervals, delays and limits of a Holder.
 const (
-	intentReadInterval    = 700 * time.Millisecond // plain reads of what operators wrote, within a second of a cut watch
-	directoryReadInterval = 900 * time.Millisecond // plain reads of the directory; with a slow read, within the age that sched allows it
-	directoryWatchPause   = 200 * time.Millisecond // between two watches of the directory, where each worker writes every second or so
-	planInterval          = 100 * time.Millisecond // plans without an event: lapses, rests and occurrences fall due
-	minPlanPause          = 2 * time.Millisecond   // after a plan, so that events that come together share one
-	planPauseFactor       = 9                      // how many times as long as a plan took the pause after it is at least
-	// commitDelay is how long ends wait to be stored with others: some 100 end each second on
-	// a busy day, and a call of the store costs as much as a tenth of a second of a task.
+	intentReadInterval    = 700 * time.Millisecond // between full reads of the intent: a change is read within a second even if the watch is cut off
+	directoryReadInterval = 900 * time.Millisecond // between full reads of the directory: even with a slow read the copy stays within the age that sched allows
+	directoryWatchPause   = 200 * time.Millisecond // between two watches of the directory, to which each worker writes about once a second
+	planInterval          = 100 * time.Millisecond // between plans without an event: leases expire, cooldowns end and occurrences fall due
+	minPlanPause          = 2 * time.Millisecond   // least pause after a plan, so that events close together share one plan
+	planPauseFactor       = 9                      // least pause after a plan, in multiples of the time that the plan took
+	// commitDelay is how long ended runs wait to be stored with others. Under high load some 100 runs end
+	// each second, and a call to the store costs as much as a tenth of a second of a task.
 	commitDelay          = 20 * time.Millisecond
-	loadRetryDelay       = 100 * time.Millisecond
+	loadRetryDelay       = 100 * time.Millisecond // after a failed attempt to load the state
 	pollRetryDelay       = 150 * time.Millisecond // after a poll without an answer
-	maxStoreWait         = 500 * time.Millisecond // for the ends of a poll to be stored
-	forgetInterval       = 10 * time.Second
-	learnedModelInterval = 3 * time.Second // between two records of what has been learned
-	// stalledWriteAfter is how long a write may take before hand-ins are refused at once.
+	maxStoreWait         = 500 * time.Millisecond // for the ended runs of a report to be stored before the next poll
+	forgetInterval       = 10 * time.Second       // between removals of jobs past their retention
+	learnedModelInterval = 3 * time.Second        // between two writes of the learned model
+	// stalledWriteAfter is the duration of a write from which on submissions are refused at once.
 	stalledWriteAfter = 600 * time.Millisecond
 )
 
-// Holder does a tenure's work.
+// Holder carries out the decisions of the scheduling core during one tenure of this process as the holder.
 type Holder struct {
 	opt          Options
 	log          logr.Logger
-	ctx          context.Context
+	ctx          context.Context // ends with the tenure
 	countOrder   func(verb, outcome string)
-	countEnd     func(verb, outcome string)
-	planWake     chan struct{}
-	commitWake   chan struct{}
-	urgentCommit chan struct{} // commit, with a caller waiting
+	countEnd     func(verb, outcome string) // of runs
+	planWake     chan struct{}              // wakes planLoop
+	commitWake   chan struct{}              // wakes commitLoop, which may wait for more changes
+	urgentCommit chan struct{}              // wakes commitLoop for a waiting caller, without delay
 	planLag      planLag
 	wg           sync.WaitGroup
 
 	pollLimiter pollLimiter
-	directory   directoryDecoder // of the directory's watch
+	directory   directoryDecoder // used by the directory's watch only
 
-	mu                   sync.Mutex
-	core                 *sched.Core // nil until loaded
-	hasConfig            bool        // a configuration is there
-	polling              map[string]bool
-	submissions          []*submission
-	submissionsByID      map[string]*submission
-	recordWaiters        map[string][]chan struct{} // for a job's next record to be stored
-	commitDone           chan struct{}              // closed with each write
-	writeStarted         time.Time                  // since when a write is under way
-	trackedWorkers       []sched.Member             // as recorded
-	trackedCount         int                        // number of workers, as recorded
-	loggedMaintenance    map[string]bool            // rounds that were told of in the log
-	learnedModelStoredAt time.Time                  // when what has been learned was last recorded
+	mu                   sync.Mutex                 // guards the fields below
+	core                 *sched.Core                // nil until loaded
+	hasConfig            bool                       // the core has a configuration
+	polling              map[string]bool            // ids of the workers that have a polling goroutine
+	submissions          []*submission              // not part of a write yet, oldest first
+	submissionsByID      map[string]*submission     // not stored yet, by job id
+	recordWaiters        map[string][]chan struct{} // closed when the job's next record is stored, by job id
+	commitDone           chan struct{}              // closed, and replaced, after each commit
+	writeStarted         time.Time                  // start of the write in flight; zero: none
+	trackedWorkers       []sched.Member             // as last stored
+	trackedCount         int                        // number of tracked workers, as last stored
+	loggedMaintenance    map[string]bool            // maintenance requests that were logged as refused
+	learnedModelStoredAt time.Time                  // when the learned model was last collected for a write
 }
 
-// submission is a job that waits to be stored.
+// submission is a submitted job that isn't stored yet.
 type submission struct {
 	job     *sched.Job
-	data    []byte
-	done    chan struct{}
-	writing bool
+	data    []byte        // the job as stored, in JSON
+	done    chan struct{} // closed once the job is stored
+	writing bool          // it is part of a write, which may have reached the store
 }
 
-// Run does the work of a tenure until it is over.
+// Run does the work of a tenure until the tenure is over. It calls ready once the state is loaded, and
+// returns an error if the tenure ends before.
 func Run(opt Options, ready func(*Holder)) error {
 	h := &Holder{
 		opt:               opt,
@@ -150,16 +151,16 @@
 	}
 	h.countOrder = newOutcomeCounter(h.opt.Scope, "orders")
 	h.countEnd = newOutcomeCounter(h.opt.Scope, "ends")
-	began := time.Now()
-	h.planLag.started = began
-	watches, err := h.loadState(began)
+	start := time.Now()
+	h.planLag.started = start
+	watches, err := h.loadState(start)
 	if err != nil {
 		return err
 	}
-	h.log.Info("took over", "jobs", len(h.core.JobIDs()), "workers", len(h.core.Workers()), "took", time.Since(began))
+	h.log.Info("took over", "jobs", len(h.core.JobIDs()), "workers", len(h.core.Workers()), "took", time.Since(start))
 	ready(h)
-	for _, f := range watches {
-		h.wg.Go(func() { f.run(h.ctx) })
+	for _, w := range watches {
+		h.wg.Go(func() { w.run(h.ctx) })
 	}
 	h.startPolling()
 	h.wg.Go(h.commitLoop)
@@ -170,65 +171,68 @@
 	return nil
 }
 
-// TrackedWorkerCount returns how many workers may hold runs, as recorded for the next holder.
+// TrackedWorkerCount returns how many workers may hold runs, as stored for the next holder.
 func (h *Holder) TrackedWorkerCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.trackedCount
 }
 
-// HasWithheldTasks reports whether tasks are held back because a worker that isn't reached may run them.
+// HasWithheldTasks reports whether tasks are withheld because a worker out of contact may still run them.
 func (h *Holder) HasWithheldTasks() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Stats(time.Now()).WithheldTasks > 0
 }
 
-// loadState reads everything from the store, again until it succeeds or the tenure is over.
-func (h *Holder) loadState(began time.Time) ([]*prefixWatch, error) {
+// loadState loads the core from the store, with retries until it succeeds or the tenure is over. It returns the
+// watches of the intent and the directory; start is when the tenure's work began.
+func (h *Holder) loadState(start time.Time) ([]*prefixWatch, error) {
 	for {
-		watches, err := h.tryLoadState(began)
+		watches, err := h.tryLoadState(start)
 		if err == nil {
 			return watches, nil
 		}
-		h.log.Info("not loaded yet", "cause", err.Error())
+		h.log.Info("loading the state from the store failed; retrying", "cause", err.Error())
 		if !wait.For(h.ctx, loadRetryDelay) {
 			return nil, errors.Wrap(err, "drive")
 		}
 	}
 }
 
-func (h *Holder) tryLoadState(began time.Time) ([]*prefixWatch, error) {
+// tryLoadState makes one attempt of loadState.
+func (h *Holder) tryLoadState(start time.Time) ([]*prefixWatch, error) {
 	core := sched.New(sched.Options{
 		WorkerLease: h.opt.WorkerLease, MaxWorkerLease: h.opt.MaxWorkerLease, MaxStopTime: h.opt.MaxStopTime, MaxUnconfirmed: h.opt.MaxUnconfirmed, Term: h.opt.Tenure.Term(),
-	}, began)
-	crew, err := h.readTrackedWorkers()
+	}, start)
+	tracked, err := h.readTrackedWorkers()
 	if err != nil {
 		return nil, err
 	}
-	if err := h.readJobs(core, began); err != nil {
+	if err := h.readJobs(core, start); err != nil {
 		return nil, err
 	}
 	if err := h.readLearnedModel(core); err != nil {
 		return nil, err
 	}
-	core.InheritWorkers(began, crew)
+	core.InheritWorkers(start, tracked)
 	h.mu.Lock()
 	h.core = core
-	h.trackedWorkers = crew
+	h.trackedWorkers = tracked
 	h.mu.Unlock()
 	watches := []*prefixWatch{
 		{store: h.opt.Store, prefix: h.opt.Codec.IntentPrefix, readInterval: intentReadInterval, onChange: h.applyIntent, onConfirm: h.noteIntentRead},
 		{store: h.opt.Store, prefix: h.opt.Codec.DirectoryPrefix, readInterval: directoryReadInterval, pause: directoryWatchPause, onChange: h.applyDirectory, onConfirm: h.noteDirectoryRead},
 	}
-	for _, f := range watches {
-		if err := f.readAll(h.ctx); err != nil {
+	for _, w := range watches {
+		if err := w.readAll(h.ctx); err != nil {
 			return nil, err
 		}
 	}
 	return watches, nil
 }
 
+// readTrackedWorkers reads the workers that may hold runs, as the former holder stored them.
 func (h *Holder) readTrackedWorkers() ([]sched.Member, error) {
 	e, err := h.opt.Store.Get(h.ctx, keyTrackedWorkers)
 	if errors.Is(err, store.ErrNotFound) {
@@ -237,11 +241,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var crew []sched.Member
-	err = json.Unmarshal(e.Value, &crew)
-	return crew, errors.Wrap(err, "drive: crew")
+	var tracked []sched.Member
+	err = json.Unmarshal(e.Value, &tracked)
+	return tracked, errors.Wrap(err, "drive: crew")
 }
 
+// readLearnedModel restores the learned model. One that can't be decoded is logged and ignored.
 func (h *Holder) readLearnedModel(core *sched.Core) error {
 	e, err := h.opt.Store.Get(h.ctx, keyLearnedModel)
 	if errors.Is(err, store.ErrNotFound) {
@@ -251,16 +256,16 @@
 		return err
 	}
 	if err := core.RestoreModel(e.Value); err != nil {
-		h.log.Error(err, "learning anew")
+		h.log.Error(err, "stored model not decoded; learning starts from scratch")
 	}
 	return nil
 }
 
-// readJobs restores every job. The progress is read first: a job that ends in between is
-// then still there or known to have ended, and none does, as the tenure's claim has ended
-// the former holder's writes.
+// readJobs restores all jobs. It reads the progress first: a job that ended between the two reads would then
+// still be listed or be known to have ended. None ends in between, because the tenure's claim makes later
+// writes of the former holder fail.
 func (h *Holder) readJobs(core *sched.Core, now time.Time) error {
-	runs, err := h.opt.Store.Range(h.ctx, progressPrefix)
+	records, err := h.opt.Store.Range(h.ctx, progressPrefix)
 	if err != nil {
 		return err
 	}
@@ -268,8 +273,8 @@
 	if err != nil {
 		return err
 	}
-	progress := make(map[string][]byte, len(runs.Entries))
-	for _, e := range runs.Entries {
+	progress := make(map[string][]byte, len(records.Entries))
+	for _, e := range records.Entries {
 		progress[e.Key[len(progressPrefix):]] = e.Value
 	}
 	for _, e := range jobs.Entries {
@@ -291,31 +296,33 @@
 	return nil
 }
 
+// applyIntent passes the operators' intent to the core.
 func (h *Holder) applyIntent(_ time.Time, entries []store.Entry) {
-	in, err := h.opt.Codec.DecodeIntent(entries)
+	intent, err := h.opt.Codec.DecodeIntent(entries)
 	if err != nil {
-		h.log.Error(err, "configuration not understood")
+		h.log.Error(err, "operators' intent not decoded; the previous one stays in force")
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if old := h.core.Config().Version; in.HasConfig && in.Config.Version > old {
-		h.log.Info("configuration", "from", old, "to", in.Config.Version, "queues", len(in.Config.Queues))
+	if old := h.core.Config().Version; intent.HasConfig && intent.Config.Version > old {
+		h.log.Info("configuration", "from", old, "to", intent.Config.Version, "queues", len(intent.Config.Queues))
 	}
-	if in.HasConfig {
+	if intent.HasConfig {
 		h.hasConfig = true
-		h.core.SetConfig(in.Config)
+		h.core.SetConfig(intent.Config)
 	}
-	h.core.SetEvacuatedZones(in.EvacuatedZones)
-	for _, u := range in.MaintenanceRequests {
-		if !h.loggedMaintenance[u] {
-			h.loggedMaintenance[u] = true
-			h.log.Info("refused", "upkeep", u, "cause", "upkeep of workers' hosts isn't served")
+	h.core.SetEvacuatedZones(intent.EvacuatedZones)
+	for _, request := range intent.MaintenanceRequests {
+		if !h.loggedMaintenance[request] {
+			h.loggedMaintenance[request] = true
+			h.log.Info("refused", "upkeep", request, "cause", "upkeep of workers' hosts isn't served")
 		}
 	}
 	h.requestPlan()
 }
 
+// applyDirectory passes the workers listed in the directory to the core and polls new ones.
 func (h *Holder) applyDirectory(at time.Time, entries []store.Entry) {
 	members := h.directory.decodeAll(entries)
 	h.mu.Lock()
@@ -326,21 +333,23 @@
 	wait.Kick(h.commitWake)
 }
 
-func (h *Holder) noteIntentRead(began time.Time) {
+// noteIntentRead tells the core that its copy of the intent is no older than a read that began at start.
+func (h *Holder) noteIntentRead(start time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.core.NoteIntentRead(began)
+	h.core.NoteIntentRead(start)
 }
 
-func (h *Holder) noteDirectoryRead(began time.Time) {
+// noteDirectoryRead tells the core that its copy of the directory is no older than a read that began at start.
+func (h *Holder) noteDirectoryRead(start time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.core.NoteDirectoryRead(began)
+	h.core.NoteDirectoryRead(start)
 }
 
-// newOutcomeCounter returns a counter by verb and outcome.
+// newOutcomeCounter returns a function that counts events by verb and outcome.
 func newOutcomeCounter(scope tally.Scope, name string) func(verb, outcome string) {
-	var counters sync.Map // of [2]string to tally.Counter: a scope takes long to find one by its tags
+	var counters sync.Map // of [2]string{verb, outcome} to tally.Counter: a scope is slow in finding a counter by its tags
 	return func(verb, outcome string) {
 		key := [2]string{verb, outcome}
 		c, ok := counters.Load(key)
--- a/internal/batch/drive/lag.go
+++ b/internal/batch/drive/lag.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// behindThreshold is from when on a holder counts as behind its work. A plan follows its event within a few
-	// milliseconds where the processor is there.
+	// behindThreshold is the plan lag from which on a holder counts as behind. With enough processor time a plan
+	// follows its event within a few milliseconds.
 	behindThreshold = 100 * time.Millisecond
-	// maxPollPause is the most that a holder that is behind leaves between two polls of a worker: what ends
-	// meanwhile is told by one of them.
+	// maxPollPause is the longest pause between two polls of a worker while the holder is behind. One report then
+	// covers all runs that ended in the pause.
 	maxPollPause = 200 * time.Millisecond
 )
 
-// planLag is how far a holder is behind the events that it has to decide about.
+// planLag measures how far plans lag behind the events that they cover.
 type planLag struct {
-	started     time.Time    // by its steady clock: the time of day may be set meanwhile
-	oldestEvent atomic.Int64 // of the oldest event without a plan, in nanoseconds from began; 0: there is none
-	latest      atomic.Int64 // nanoseconds by which the newest plan came after its oldest event
+	started     time.Time    // origin of the times below; differences use the monotonic clock, as the wall clock may be set
+	oldestEvent atomic.Int64 // time of the oldest event not covered by a plan, in nanoseconds since started; 0: none
+	latest      atomic.Int64 // lag of the latest plan behind the oldest event that it covers, in nanoseconds
 }
 
-// requestPlan has a plan made for an requestPlan.
+// requestPlan records an event and wakes planLoop.
 func (h *Holder) requestPlan() {
 	h.planLag.oldestEvent.CompareAndSwap(0, max(1, int64(time.Since(h.planLag.started))))
 	wait.Kick(h.planWake)
 }
 
-// markPlanned notes that a plan covers all events so far, and returns by how much it came after the oldest.
+// markPlanned records that a plan covers all events so far, and returns its lag behind the oldest of them.
 func (l *planLag) markPlanned(now time.Time) time.Duration {
-	behind := time.Duration(0)
+	lag := time.Duration(0)
 	if at := l.oldestEvent.Swap(0); at != 0 {
-		behind = max(0, now.Sub(l.started)-time.Duration(at))
+		lag = max(0, now.Sub(l.started)-time.Duration(at))
 	}
-	l.latest.Store(int64(behind))
-	return behind
+	l.latest.Store(int64(lag))
+	return lag
 }
 
-// pollPause returns how long a worker is left alone after a poll.
+// pollPause returns the pause between two polls of a worker: none unless the holder is behind.
 func (l *planLag) pollPause() time.Duration {
-	behind := time.Duration(l.latest.Load())
-	if behind < behindThreshold {
+	lag := time.Duration(l.latest.Load())
+	if lag < behindThreshold {
 		return 0
 	}
-	return min(behind, maxPollPause)
+	return min(lag, maxPollPause)
 }
--- a/internal/batch/drive/limiter.go
+++ b/internal/batch/drive/limiter.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// maxPollSlots is how many polls of workers that aren't in contact are under way at a time.
+	// maxPollSlots is how many polls of workers out of contact may be in flight at a time.
 	maxPollSlots = 64
-	// pollSlotTimeout is how long one without an answer counts: workers that don't answer hold up nobody else for long.
+	// pollSlotTimeout is how long an unanswered poll occupies its slot, so that workers that don't answer delay
+	// the polls of others only briefly.
 	pollSlotTimeout = 300 * time.Millisecond
 )
 
-// pollLimiter has workers that aren't in contact polled in turn.
+// pollLimiter bounds the concurrent polls of workers out of contact, including those not heard from yet.
 //
-// The failure it guards against: a new holder polls all workers at once, needs longer for the connections than
-// it waits for the answers, gives them up and begins anew, without an end.
+// It guards against a new holder that polls all workers at once, needs longer to connect than it waits for the
+// answers, abandons the polls and starts over, without end.
 type pollLimiter struct {
 	slots *semaphore.Weighted
 }
@@ -27,15 +28,15 @@
 	return pollLimiter{semaphore.NewWeighted(maxPollSlots)}
 }
 
-// acquire waits for a turn and returns what ends it; an error says that ctx is over.
-func (c pollLimiter) acquire(ctx context.Context) (leave func(), err error) {
-	if err := c.slots.Acquire(ctx, 1); err != nil {
+// acquire waits for a slot and returns a function that releases it. It fails only if ctx ends.
+func (l pollLimiter) acquire(ctx context.Context) (release func(), err error) {
+	if err := l.slots.Acquire(ctx, 1); err != nil {
 		return nil, err
 	}
-	release := sync.OnceFunc(func() { c.slots.Release(1) })
-	t := time.AfterFunc(pollSlotTimeout, release)
+	releaseOnce := sync.OnceFunc(func() { l.slots.Release(1) })
+	t := time.AfterFunc(pollSlotTimeout, releaseOnce)
 	return func() {
 		t.Stop()
-		release()
+		releaseOnce()
 	}, nil
 }
--- a/internal/batch/drive/plan.go
+++ b/internal/batch/drive/plan.go
@@ -7,44 +7,45 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// planLoop orders what follows from the events until the tenure is over.
+// planLoop plans after events, and at least every planInterval, and carries out the resulting orders until the
+// tenure is over.
 func (h *Holder) planLoop() {
 	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
-	shown := newStatusReporter(h.opt.Scope)
-	defer shown.clearGauges()
+	reporter := newStatusReporter(h.opt.Scope)
+	defer reporter.clearGauges()
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
 		case <-h.planWake:
-		case due := <-tick.C:
-			shown.recordTickDelay(time.Since(due))
+		case tickTime := <-tick.C:
+			reporter.recordTickDelay(time.Since(tickTime))
 		}
 		h.mu.Lock()
 		now := time.Now()
 		h.updateConfirmation()
-		behind := h.planLag.markPlanned(now)
+		lag := h.planLag.markPlanned(now)
 		orders := h.core.Plan(now)
 		took := time.Since(now)
-		outdated := h.core.StaleCause()
-		waits := h.core.TakeUnplacedSteps()
-		placed, endings := h.core.TakeEvents()
-		var stand sched.Stats
-		show := shown.reportDue(now, behind)
-		if show {
-			stand = h.core.Stats(now)
+		staleCause := h.core.StaleCause()
+		unplaced := h.core.TakeUnplacedSteps()
+		placed, ended := h.core.TakeEvents()
+		var stats sched.Stats
+		reportDue := reporter.reportDue(now, lag)
+		if reportDue {
+			stats = h.core.Stats(now)
 		}
 		h.mu.Unlock()
-		shown.logBlockedStarts(h, outdated)
-		if show {
-			shown.report(h, now, stand)
+		reporter.logBlockedStarts(h, staleCause)
+		if reportDue {
+			reporter.report(h, now, stats)
 		}
-		for _, w := range waits {
-			h.log.Info("waits", "job", w.Job, "step", w.Step, "image", w.Image, "tasks", w.Tasks, "since", w.Waited, "workers", w.Workers,
-				"closed", w.Unavailable, "shut", w.OverTarget, "full", w.NoResources, "memory", w.NoMemory, "harm", w.Interference, "least", w.LeastViolations)
+		for _, u := range unplaced {
+			h.log.Info("waits", "job", u.Job, "step", u.Step, "image", u.Image, "tasks", u.Tasks, "since", u.Waited, "workers", u.Workers,
+				"closed", u.Unavailable, "shut", u.OverTarget, "full", u.NoResources, "memory", u.NoMemory, "harm", u.Interference, "least", u.LeastViolations)
 		}
-		h.logEvents(placed, endings)
+		h.logEvents(placed, ended)
 		for _, o := range orders {
 			h.wg.Go(func() { h.executeOrder(o) })
 		}
@@ -54,18 +55,18 @@
 	}
 }
 
-// logEvents logs what became of steps and jobs.
-func (h *Holder) logEvents(placed []sched.StepPlaced, endings []sched.JobEnded) {
+// logEvents logs the steps whose tasks have all been placed and the jobs that have ended.
+func (h *Holder) logEvents(placed []sched.StepPlaced, ended []sched.JobEnded) {
 	for _, p := range placed {
 		h.log.Info("placed", "job", p.Job, "queue", p.Queue, "round", p.Occurrence, "step", p.Step, "tasks", p.Tasks,
 			"lasting", p.LongRunning, "waited", p.Waited, "lacked", p.Unplaced, "expect", p.ExpectedTime)
 	}
-	for _, e := range endings {
+	for _, e := range ended {
 		h.log.Info("finished", "job", e.Job, "queue", e.Queue, "state", e.State, "took", e.Took, "aim", e.RelativeDeadline)
 	}
 }
 
-// updateConfirmation tells the core how fresh the tenure is; h.mu is held.
+// updateConfirmation tells the core when the store and the peers last confirmed this holder. The caller holds h.mu.
 func (h *Holder) updateConfirmation() {
 	h.core.ConfirmHolder(h.opt.Tenure.ConfirmedAt())
 	if h.opt.PeersConfirmedAt != nil {
@@ -73,29 +74,31 @@
 	}
 }
 
-// executeOrder gives an executeOrder and has the core know what came of it, also when the tenure is over.
+// executeOrder sends an order and passes the outcome to the core, also when the tenure is over. A worker that
+// has been fenced by a newer holder ends the tenure instead.
 func (h *Holder) executeOrder(o sched.Order) {
-	began := time.Now()
-	out, cause := h.sendOrder(o)
-	if o.Verb == sched.VerbStart || out != sched.OutcomeDone || o.CPULimit == 0 {
-		h.log.Info("order", "verb", o.Verb, "task", o.Task, "run", o.Run, "worker", o.Incarnation.ID, "pace", o.CPULimit, "starved", o.Starved, "outcome", out, "cause", cause,
-			"took", time.Since(began))
-	}
-	h.countOrder(string(o.Verb), string(out))
-	if out == sched.OutcomeFenced {
+	start := time.Now()
+	outcome, cause := h.sendOrder(o)
+	if o.Verb == sched.VerbStart || outcome != sched.OutcomeDone || o.CPULimit == 0 {
+		h.log.Info("order", "verb", o.Verb, "task", o.Task, "run", o.Run, "worker", o.Incarnation.ID, "pace", o.CPULimit, "starved", o.Starved, "outcome", outcome, "cause", cause,
+			"took", time.Since(start))
+	}
+	h.countOrder(string(o.Verb), string(outcome))
+	if outcome == sched.OutcomeFenced {
 		h.endFencedTenure(o.Incarnation.ID)
 		return
 	}
 	h.mu.Lock()
-	h.core.HandleOutcome(time.Now(), o, out)
+	h.core.HandleOutcome(time.Now(), o, outcome)
 	limited := h.core.StartsLimited()
 	h.mu.Unlock()
-	if out != sched.OutcomeDone || limited {
+	if outcome != sched.OutcomeDone || limited {
 		h.requestPlan()
 	}
 }
 
-// sendOrder sends an order to its worker, unless it has to stay; the cause says why.
+// sendOrder sends an order to its worker, unless the tenure is over or the core rejects it; the cause says why it
+// was not sent.
 func (h *Holder) sendOrder(o sched.Order) (sched.Outcome, sched.UnsentCause) {
 	if h.ctx.Err() != nil {
 		return sched.OutcomeUnsent, sched.CauseNotHolder
@@ -110,13 +113,13 @@
 	return h.opt.Workers.SendOrder(h.ctx, o, h.opt.Tenure.Term()), sched.CauseNone
 }
 
-// endFencedTenure ends the tenure: a worker knows a newer holder.
+// endFencedTenure ends the tenure because a worker has been fenced by a newer holder.
 func (h *Holder) endFencedTenure(worker string) {
 	h.log.Info("fenced by a newer holder", "worker", worker)
 	h.opt.Tenure.End()
 }
 
-// startPolling has a goroutine for each worker.
+// startPolling starts a polling goroutine for each worker that has none.
 func (h *Holder) startPolling() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,80 +131,82 @@
 	}
 }
 
+// pollWorker polls a worker until the core needs no more polls of it or the tenure is over.
 func (h *Holder) pollWorker(id string) {
-	good, heard := true, false
+	inContact, answered := true, false
 	for h.ctx.Err() == nil {
-		leave := func() {}
-		if !heard {
+		release := func() {}
+		if !answered {
 			var err error
-			if leave, err = h.pollLimiter.acquire(h.ctx); err != nil {
+			if release, err = h.pollLimiter.acquire(h.ctx); err != nil {
 				return
 			}
 		}
 		h.mu.Lock()
 		h.updateConfirmation()
 		sent := time.Now()
-		l, ok := h.core.NextPoll(sent, id)
+		req, ok := h.core.NextPoll(sent, id)
 		if !ok {
 			delete(h.polling, id)
 		}
 		h.mu.Unlock()
 		if !ok {
-			leave()
+			release()
 			return
 		}
-		rep, out := h.opt.Workers.Poll(h.ctx, l, h.opt.Tenure.Term())
-		leave()
+		report, outcome := h.opt.Workers.Poll(h.ctx, req, h.opt.Tenure.Term())
+		release()
 		if h.ctx.Err() != nil {
 			return
 		}
-		heard = out == sched.OutcomeDone
-		if good != (out == sched.OutcomeDone) {
-			good = !good
-			h.log.Info("contact", "worker", id, "outcome", out, "took", time.Since(sent))
+		answered = outcome == sched.OutcomeDone
+		if inContact != (outcome == sched.OutcomeDone) {
+			inContact = !inContact
+			h.log.Info("contact", "worker", id, "outcome", outcome, "took", time.Since(sent))
 		}
-		h.handlePollResult(sent, l, rep, out)
-		if rest := h.planLag.pollPause(); rest > 0 {
-			wait.For(h.ctx, rest)
+		h.handlePollResult(sent, req, report, outcome)
+		if pause := h.planLag.pollPause(); pause > 0 {
+			wait.For(h.ctx, pause)
 		}
 	}
 }
 
-func (h *Holder) handlePollResult(sent time.Time, l sched.PollRequest, rep sched.Report, out sched.Outcome) {
+// handlePollResult passes the result of a poll to the core and waits until the worker may be polled again.
+func (h *Holder) handlePollResult(sent time.Time, req sched.PollRequest, report sched.Report, outcome sched.Outcome) {
 	now := time.Now()
-	var news []sched.FinishedRun
+	var newEnds []sched.FinishedRun
 	h.mu.Lock()
-	switch out {
+	switch outcome {
 	case sched.OutcomeDone:
-		news = h.core.HandleReport(sent, now, l.ID, rep)
+		newEnds = h.core.HandleReport(sent, now, req.ID, report)
 	case sched.OutcomeOtherIncarnation:
-		h.core.IncarnationEnded(now, l.ID, l.StartedAt)
+		h.core.IncarnationEnded(now, req.ID, req.StartedAt)
 	default:
-		h.core.PollFailed(now, l.ID, l.StartedAt)
+		h.core.PollFailed(now, req.ID, req.StartedAt)
 	}
 	h.mu.Unlock()
-	if out == sched.OutcomeFenced {
-		h.endFencedTenure(l.ID)
+	if outcome == sched.OutcomeFenced {
+		h.endFencedTenure(req.ID)
 		return
 	}
-	h.logEnds(l.ID, news)
+	h.logEnds(req.ID, newEnds)
 	h.requestPlan()
-	if out != sched.OutcomeDone {
+	if outcome != sched.OutcomeDone {
 		wait.For(h.ctx, pollRetryDelay)
 		return
 	}
-	h.awaitStoredEnds(l.ID)
+	h.awaitStoredEnds(req.ID)
 }
 
-// awaitStoredEnds waits until a worker's ends are stored, for a while: the next poll tells the
-// worker to forget them and would be answered at once with the same ends before.
+// awaitStoredEnds waits, up to maxStoreWait, until the ended runs that a worker has reported are stored. The next
+// poll acknowledges them; if it were sent before, the worker would answer at once with the same ended runs.
 func (h *Holder) awaitStoredEnds(id string) {
 	t := time.NewTimer(maxStoreWait)
 	defer t.Stop()
 	for {
 		h.mu.Lock()
 		unstored := h.core.HasUnackedEnds(id)
-		stored := h.commitDone
+		commitDone := h.commitDone
 		h.mu.Unlock()
 		if !unstored {
 			return
@@ -210,16 +215,17 @@
 		select {
 		case <-h.ctx.Done():
 			return
-		case <-stored:
+		case <-commitDone:
 		case <-t.C:
 			return
 		}
 	}
 }
 
-// logEnds tells of ends that are news. Until an end is acknowledged each poll repeats it.
-func (h *Holder) logEnds(worker string, news []sched.FinishedRun) {
-	for _, f := range news {
+// logEnds logs and counts ended runs that were not reported before. A worker repeats an ended run in each report
+// until it is acknowledged.
+func (h *Holder) logEnds(worker string, newEnds []sched.FinishedRun) {
+	for _, f := range newEnds {
 		h.countEnd("end", string(f.End))
 		h.log.Info("end", "task", f.Task, "run", f.Run, "how", f.End, "worker", worker, "seq", f.Seq)
 	}
--- a/internal/batch/drive/request.go
+++ b/internal/batch/drive/request.go
@@ -13,107 +13,109 @@
 	"github.com/pkg/errors"
 )
 
-// Verb is what a caller asks for.
+// Verb is what a Request asks for.
 type Verb string
 
-// What callers ask for.
+// The verbs of a Request.
 const (
-	VerbSubmit Verb = "submit"
-	VerbState  Verb = "state" // of a job, or how many wait in a queue
-	VerbCancel Verb = "cancel"
+	VerbSubmit Verb = "submit" // submit a job
+	VerbState  Verb = "state"  // the state of a job, or without a job id the number of pending jobs in the queue
+	VerbCancel Verb = "cancel" // cancel a job
 )
 
-// Request is a caller's request on its way to the holder.
+// Request is a caller's request to the holder.
 type Request struct {
 	Verb Verb
-	Host string
-	Path string
+	Host string // selects the queue, together with Path
+	Path string // the queue's prefix, followed by the job's id
 	Job  []byte // of a submission: the job, as JSON of sched.Job
 }
 
-// Result is how an Ask ended.
+// Result is the result of a Request.
 type Result string
 
-// The results of an Ask.
+// The results of a Request.
 const (
-	ResultDone    Result = "done"
-	ResultState   Result = "state"
-	ResultCount   Result = "count"
-	ResultNoQueue Result = "noqueue" // there is no such queue
-	ResultNoJob   Result = "nojob"   // there is no such job
-	ResultBad     Result = "bad"     // it can't be understood
-	ResultRefused Result = "refused" // not carried out; come back after Reply.After
-	ResultUnknown Result = "unknown" // it may have been carried out, or may be
+	ResultDone    Result = "done"    // carried out, or the job was known or had ended before
+	ResultState   Result = "state"   // Reply.State is set
+	ResultCount   Result = "count"   // Reply.Pending is set
+	ResultNoQueue Result = "noqueue" // no queue matches the host and path
+	ResultNoJob   Result = "nojob"   // the job does not exist
+	ResultBad     Result = "bad"     // the request is invalid
+	ResultRefused Result = "refused" // not carried out; retry after Reply.After
+	ResultUnknown Result = "unknown" // it may have been carried out, or may be carried out later
 )
 
-// Reply is the answer to an Ask.
+// Reply is the holder's reply to a Request.
 type Reply struct {
 	Result  Result
-	State   sched.State
-	Pending int
-	After   time.Duration // when to come back
-	Why     string
-	Version int64 // of the configuration that decided it
+	State   sched.State   // of the job, for ResultState
+	Pending int           // jobs of the queue that have not started, for ResultCount
+	After   time.Duration // when to retry, for ResultRefused
+	Why     string        // the reason for the result, in words
+	Version int64         // of the configuration under which the request was handled
 }
 
-// RefusedReply returns the reply of a request that was not carried out.
+// RefusedReply returns the reply to a request that was not carried out and may be retried after a delay.
 func RefusedReply(why string, after time.Duration) Reply {
 	return Reply{Result: ResultRefused, Why: why, After: after}
 }
 
-// Times to come back after.
+// Delays after which a caller should retry.
 const (
-	// RetryAfterHolderChange fits a change of holder.
+	// RetryAfterHolderChange is the delay while the holder changes.
 	RetryAfterHolderChange = time.Second
-	// retryAfterStoreOutage fits a store that doesn't answer: it is tried ten times a second, so a
-	// second is soon enough.
+	// retryAfterStoreOutage is the delay while the store doesn't answer. The holder tries it ten times a
+	// second, so a second is soon enough.
 	retryAfterStoreOutage = time.Second
-	// retryAfterUnsupportedQueue is for a queue that isn't served until operators change it.
+	// retryAfterUnsupportedQueue is the delay for a queue that isn't served until operators change its configuration.
 	retryAfterUnsupportedQueue = time.Minute
 )
 
-// Handle answers a caller.
-func (h *Holder) Handle(ctx context.Context, a Request) Reply {
+// Handle carries out a caller's request and returns the reply.
+func (h *Holder) Handle(ctx context.Context, req Request) Reply {
 	h.mu.Lock()
 	conf := h.core.Config()
-	known := h.hasConfig
-	q, ok := conf.MatchQueue(a.Host, a.Path)
+	hasConfig := h.hasConfig
+	q, ok := conf.MatchQueue(req.Host, req.Path)
 	version := conf.Version
 	h.mu.Unlock()
-	if !known {
+	if !hasConfig {
 		return RefusedReply("no configuration yet", RetryAfterHolderChange)
 	}
 	if !ok {
 		return Reply{Result: ResultNoQueue, Version: version}
 	}
-	rep := h.handleInQueue(ctx, a, q, strings.TrimPrefix(a.Path, q.Prefix))
-	rep.Version = version
-	return rep
+	reply := h.handleInQueue(ctx, req, q, strings.TrimPrefix(req.Path, q.Prefix))
+	reply.Version = version
+	return reply
 }
 
-func (h *Holder) handleInQueue(ctx context.Context, a Request, q sched.Queue, id string) Reply {
+// handleInQueue carries out a request to a queue; id is what follows the queue's prefix in the path.
+func (h *Holder) handleInQueue(ctx context.Context, req Request, q sched.Queue, id string) Reply {
 	switch {
-	case a.Verb == VerbState && id == "":
+	case req.Verb == VerbState && id == "":
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		return Reply{Result: ResultCount, Pending: h.core.PendingJobs(q.Name)}
 	case id == "" || strings.Contains(id, "/") || strings.Contains(id, "."):
 		return Reply{Result: ResultBad, Why: "no job id"}
-	case a.Verb == VerbSubmit:
-		return h.submitJob(ctx, a, q, id)
-	case a.Verb == VerbCancel:
+	case req.Verb == VerbSubmit:
+		return h.submitJob(ctx, req, q, id)
+	case req.Verb == VerbCancel:
 		return h.cancelJob(ctx, id)
 	}
 	return h.replyState(ctx, id)
 }
 
-func (h *Holder) submitJob(ctx context.Context, a Request, q sched.Queue, id string) Reply {
+// submitJob has a job stored and replies once it is. A job that is known already is accepted again.
+func (h *Holder) submitJob(ctx context.Context, req Request, q sched.Queue, id string) Reply {
 	if q.Advised {
 		h.log.Info("refused", "job", id, "queue", q.Name, "cause", "queue needs advice")
 		return RefusedReply("a queue whose workers need advice isn't served", retryAfterUnsupportedQueue)
 	}
 	job := &sched.Job{}
-	if err := json.Unmarshal(a.Job, job); err != nil {
+	if err := json.Unmarshal(req.Job, job); err != nil {
 		return Reply{Result: ResultBad, Why: err.Error()}
 	}
 	if err := job.Validate(); err != nil {
@@ -153,6 +155,7 @@
 	return h.withdrawSubmission(s)
 }
 
+// countTasks returns the number of tasks of one occurrence of a job.
 func countTasks(j *sched.Job) int {
 	n := 0
 	for _, s := range j.Steps {
@@ -161,16 +164,16 @@
 	return n
 }
 
-// withdrawSubmission takes back a submission that isn't stored in time. One that is on its way to the
-// store may get there.
+// withdrawSubmission withdraws a submission that was not stored in time. The result is unknown if it is
+// already part of a write, which may still succeed.
 func (h *Holder) withdrawSubmission(s *submission) Reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s.writing {
 		return Reply{Result: ResultUnknown, Why: "store answers late"}
 	}
-	for i, o := range h.submissions {
-		if o == s {
+	for i, other := range h.submissions {
+		if other == s {
 			h.submissions = append(h.submissions[:i:i], h.submissions[i+1:]...)
 			delete(h.submissionsByID, s.job.ID)
 			break
@@ -179,14 +182,15 @@
 	return RefusedReply("store away", retryAfterStoreOutage)
 }
 
+// cancelJob cancels a job and replies once that is stored.
 func (h *Holder) cancelJob(ctx context.Context, id string) Reply {
 	h.mu.Lock()
-	was, known := h.core.JobState(id)
+	state, known := h.core.JobState(id)
 	if !known {
 		h.mu.Unlock()
 		return h.replyUnknownJob(ctx, id)
 	}
-	if was.Final() {
+	if state.Final() {
 		h.mu.Unlock()
 		return Reply{Result: ResultDone}
 	}
@@ -198,7 +202,7 @@
 	h.requestPlan()
 	select {
 	case <-done:
-		h.log.Info("cancelled", "job", id, "was", was)
+		h.log.Info("cancelled", "job", id, "was", state)
 		return Reply{Result: ResultDone}
 	case <-ctx.Done():
 	case <-h.ctx.Done():
@@ -206,18 +210,19 @@
 	return Reply{Result: ResultUnknown, Why: "store answers late"}
 }
 
+// replyState replies with the state of a job.
 func (h *Holder) replyState(ctx context.Context, id string) Reply {
 	h.mu.Lock()
-	s, known := h.core.JobState(id)
+	state, known := h.core.JobState(id)
 	h.mu.Unlock()
 	if !known {
 		return h.replyUnknownJob(ctx, id)
 	}
-	return Reply{Result: ResultState, State: s}
+	return Reply{Result: ResultState, State: state}
 }
 
-// replyUnknownJob answers for a job that isn't known here. The store is asked: a holder that has been
-// replaced without knowing misses the jobs of its successor.
+// replyUnknownJob replies for a job that the core doesn't know. It looks the job up in the store, because a
+// holder that has been replaced without noticing doesn't know the jobs of its successor.
 func (h *Holder) replyUnknownJob(ctx context.Context, id string) Reply {
 	for _, key := range []string{jobPrefix + id, progressPrefix + id} {
 		_, err := h.opt.Store.Get(ctx, key)
--- a/internal/batch/drive/status.go
+++ b/internal/batch/drive/status.go
@@ -8,55 +8,55 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// statusInterval is how often a holder's standing is shown in its metrics.
+// statusInterval is the interval at which a holder updates its gauges.
 const statusInterval = time.Second
 
-// statusReporter shows what a holder has and knows: as gauges, and in the log when it begins and
-// ends to hold tasks back.
+// statusReporter reports a holder's status as gauges. It logs when the holder begins and stops withholding tasks,
+// blocking starts and being behind.
 type statusReporter struct {
-	scope      tally.Scope
-	tickDelay  tally.Histogram
-	reportedAt time.Time
-	withheld   int
-	// maxPlanLag is the most that a plan of late came after its oldest event, and slow whether that was told.
-	maxPlanLag   time.Duration
-	behindLogged bool
-	blockCause   sched.UnsentCause // why nothing is started
+	scope        tally.Scope
+	tickDelay    tally.Histogram   // how late planLoop handles its ticks
+	reportedAt   time.Time         // when the gauges were last updated
+	withheld     int               // withheld tasks at that time
+	maxPlanLag   time.Duration     // largest plan lag since then
+	behindLogged bool              // the holder was last logged as behind
+	blockCause   sched.UnsentCause // why starts are blocked, as last logged; sched.CauseNone: they aren't
 }
 
-// tickDelayBuckets are the bounds of the histogram of a holder's lateness with its own work.
+// tickDelayBuckets are the bounds of the histogram of tick delays.
 var tickDelayBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 12)
 
 func newStatusReporter(scope tally.Scope) *statusReporter {
 	return &statusReporter{scope: scope, tickDelay: scope.Histogram("plan_late", tickDelayBuckets)}
 }
 
-// recordTickDelay counts by how much a plan that was due came late: what a holder lacks in processor shows first there.
+// recordTickDelay records how late planLoop handled a tick. A lack of processor time shows here first.
 func (s *statusReporter) recordTickDelay(d time.Duration) {
 	s.tickDelay.RecordDuration(d)
 }
 
-// reportDue reports whether the standing is to be shown again. behind is by how much a plan came after its oldest event.
-func (s *statusReporter) reportDue(now time.Time, behind time.Duration) bool {
-	s.maxPlanLag = max(s.maxPlanLag, behind)
+// reportDue records the lag of a plan and reports whether the gauges are due for an update.
+func (s *statusReporter) reportDue(now time.Time, lag time.Duration) bool {
+	s.maxPlanLag = max(s.maxPlanLag, lag)
 	return now.Sub(s.reportedAt) >= statusInterval
 }
 
-// report sets the gauges and tells of a change in what is held back.
-func (s *statusReporter) report(h *Holder, now time.Time, st sched.Stats) {
+// report updates the gauges and logs when the holder begins or stops withholding tasks or being behind.
+func (s *statusReporter) report(h *Holder, now time.Time, stats sched.Stats) {
 	s.reportedAt = now
-	s.setGauges(h.opt.Tenure.Term(), st, s.maxPlanLag)
+	s.setGauges(h.opt.Tenure.Term(), stats, s.maxPlanLag)
 	switch {
-	case s.withheld == 0 && st.WithheldTasks > 0:
-		h.log.Info("holds back", "tasks", st.WithheldTasks, "unheard", st.WorkersUnheard, "workers", st.WorkersInContact+st.WorkersLost+st.WorkersUnheard, "left", st.WithheldFor)
-	case s.withheld > 0 && st.WithheldTasks == 0:
-		h.log.Info("holds nothing back", "tasks", s.withheld, "unheard", st.WorkersUnheard)
+	case s.withheld == 0 && stats.WithheldTasks > 0:
+		h.log.Info("holds back", "tasks", stats.WithheldTasks, "unheard", stats.WorkersUnheard, "workers", stats.WorkersInContact+stats.WorkersLost+stats.WorkersUnheard, "left", stats.WithheldFor)
+	case s.withheld > 0 && stats.WithheldTasks == 0:
+		h.log.Info("withholds no more tasks", "tasks", s.withheld, "unheard", stats.WorkersUnheard)
 	}
-	s.withheld = st.WithheldTasks
-	s.logBehind(h, st)
+	s.withheld = stats.WithheldTasks
+	s.logBehind(h, stats)
 }
 
-// logBlockedStarts tells when the age of what is held of the store begins and ends to logBlockedStarts starts.
+// logBlockedStarts logs when starts become blocked, or are no longer, because the copy of the directory or of the
+// intent is too old.
 func (s *statusReporter) logBlockedStarts(h *Holder, cause sched.UnsentCause) {
 	if cause == s.blockCause {
 		return
@@ -65,31 +65,32 @@
 	h.log.Info("bars starts", "now", cause != sched.CauseNone, "cause", cause)
 }
 
-// logBehind tells when the holder begins and ends to be behind its work.
-func (s *statusReporter) logBehind(h *Holder, st sched.Stats) {
-	if slow := s.maxPlanLag >= behindThreshold; slow != s.behindLogged {
-		s.behindLogged = slow
-		h.log.Info("behind", "now", slow, "by", s.maxPlanLag, "starts", st.OpenStarts, "window", st.StartWindow)
+// logBehind logs when the holder begins and stops being behind.
+func (s *statusReporter) logBehind(h *Holder, stats sched.Stats) {
+	if behind := s.maxPlanLag >= behindThreshold; behind != s.behindLogged {
+		s.behindLogged = behind
+		h.log.Info("behind", "now", behind, "by", s.maxPlanLag, "starts", stats.OpenStarts, "window", stats.StartWindow)
 	}
 	s.maxPlanLag = 0
 }
 
-// clearGauges takes back the gauges of a tenure that is over: they would show its last state for good.
+// clearGauges resets the gauges when the tenure is over, as they would go on showing its last state.
 func (s *statusReporter) clearGauges() {
 	s.setGauges(0, sched.Stats{}, 0)
 }
 
-func (s *statusReporter) setGauges(term int64, st sched.Stats, behind time.Duration) {
+// setGauges sets all gauges.
+func (s *statusReporter) setGauges(term int64, stats sched.Stats, lag time.Duration) {
 	s.scope.Gauge("term").Update(float64(term))
-	for contact, n := range map[string]int{"good": st.WorkersInContact, "lost": st.WorkersLost, "unheard": st.WorkersUnheard} {
+	for contact, n := range map[string]int{"good": stats.WorkersInContact, "lost": stats.WorkersLost, "unheard": stats.WorkersUnheard} {
 		s.scope.Tagged(map[string]string{"contact": contact}).Gauge("workers").Update(float64(n))
 	}
-	s.scope.Gauge("tasks_held").Update(float64(st.WithheldTasks))
-	s.scope.Gauge("confirmed_age").Update(st.ConfirmationAge.Seconds())
-	s.scope.Gauge("roster_age").Update(st.DirectoryAge.Seconds())
-	s.scope.Gauge("intent_age").Update(st.IntentAge.Seconds())
-	s.scope.Gauge("steps_waiting").Update(float64(st.WaitingSteps))
-	s.scope.Gauge("longest_wait").Update(st.LongestWait.Seconds())
-	s.scope.Gauge("behind").Update(behind.Seconds())
-	s.scope.Gauge("starts_open").Update(float64(st.OpenStarts))
+	s.scope.Gauge("tasks_held").Update(float64(stats.WithheldTasks))
+	s.scope.Gauge("confirmed_age").Update(stats.ConfirmationAge.Seconds())
+	s.scope.Gauge("roster_age").Update(stats.DirectoryAge.Seconds())
+	s.scope.Gauge("intent_age").Update(stats.IntentAge.Seconds())
+	s.scope.Gauge("steps_waiting").Update(float64(stats.WaitingSteps))
+	s.scope.Gauge("longest_wait").Update(stats.LongestWait.Seconds())
+	s.scope.Gauge("behind").Update(lag.Seconds())
+	s.scope.Gauge("starts_open").Update(float64(stats.OpenStarts))
 }
