--- a/internal/batch/drive/cluster_test.go
+++ b/internal/batch/drive/cluster_test.go
@@ -22,122 +22,127 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// testCluster is some hosts with a store and workers, for use in a bubble of virtual time.
+// testCluster is a cluster of hosts, workers and a store, for use in a synctest bubble.
 type testCluster struct {
 	t       *testing.T
 	store   *multi.Service
 	workers *fakecrew.Crew
 	hosts   []*host
 
-	wrapWorkers func(drive.WorkerClient) drive.WorkerClient // around the crew as each host reaches it; nil: nothing
+	wrapWorkers func(drive.WorkerClient) drive.WorkerClient // wraps each host's client of the workers; nil: no wrapper
 
-	wrapStore func(store.Multi) store.Multi // around the store as each host reaches it; nil: nothing
+	wrapStore func(store.Multi) store.Multi // wraps each host's client of the store; nil: no wrapper
 
 	mu      sync.Mutex
-	cutZone string // failure domain that is cut off from everything else
+	cutZone string // failure domain that is partitioned from the others and the store; empty: none
 }
 
-// setCutZone cuts a failure domain off from the other ones and the store, or, empty, nothing.
-func (f *testCluster) setCutZone(zone string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.cutZone = zone
+// setCutZone partitions a failure domain from the others and the store; an empty zone ends the partition.
+func (c *testCluster) setCutZone(zone string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cutZone = zone
 }
 
-func (f *testCluster) partitioned(a, b string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.cutZone != "" && (a == f.cutZone) != (b == f.cutZone)
+// partitioned reports whether two zones can't reach each other. The store counts as a zone of its own.
+func (c *testCluster) partitioned(a, b string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.cutZone != "" && (a == c.cutZone) != (b == c.cutZone)
 }
 
-// host is one process that may hold.
+// host is a process that may become the holder.
 type host struct {
-	f        *testCluster
+	cluster  *testCluster
 	name     string
 	zone     string
 	cpu      *processor
-	capacity atomic.Int64 // see lead.Options
+	capacity atomic.Int64 // workers that it can handle as the holder; 0: unknown
 
 	mu     sync.Mutex
-	mode   multi.Mode
-	holder *drive.Holder
-	term   int64
-	cancel context.CancelFunc
+	mode   multi.Mode         // how the store treats the host
+	holder *drive.Holder      // nil while it isn't the holder
+	term   int64              // of holder
+	cancel context.CancelFunc // ends the process
 	wg     sync.WaitGroup
 }
 
+// newTestCluster starts a cluster; work returns how long a task runs and how it ends.
 func newTestCluster(t *testing.T, hosts, workers int, rng *rand.Rand, work func(string) (time.Duration, sched.End)) *testCluster {
-	f := &testCluster{t: t, store: &multi.Service{}}
-	f.workers = fakecrew.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rng, work)
-	f.configure(sched.Config{Version: 1, Queues: []sched.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Tries: 3, Stretch: 2, Aim: time.Second}}})
-	f.listWorkers()
-	f.addHosts(hosts, 0, 0)
-	return f
+	c := &testCluster{t: t, store: &multi.Service{}}
+	c.workers = fakecrew.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rng, work)
+	c.configure(sched.Config{Version: 1, Queues: []sched.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Tries: 3, Stretch: 2, Aim: time.Second}}})
+	c.listWorkers()
+	c.addHosts(hosts, 0, 0)
+	return c
 }
 
-// addHosts starts n further hosts whose processors need so long for a turn and which carry so many workers.
-func (f *testCluster) addHosts(n int, turn time.Duration, carries int) {
+// addHosts starts n further hosts whose processors take turn for each turn and which can handle capacity workers.
+func (c *testCluster) addHosts(n int, turn time.Duration, capacity int) {
 	for range n {
-		i := len(f.hosts)
-		h := &host{f: f, name: fmt.Sprintf("host%d", i), zone: fmt.Sprintf("z%d", i%3), cpu: &processor{}}
-		h.setSpeed(turn, carries)
-		f.hosts = append(f.hosts, h)
+		i := len(c.hosts)
+		h := &host{cluster: c, name: fmt.Sprintf("host%d", i), zone: fmt.Sprintf("z%d", i%3), cpu: &processor{}}
+		h.setSpeed(turn, capacity)
+		c.hosts = append(c.hosts, h)
 		h.start()
 	}
 }
 
-// setSpeed sets how long the host's processor needs for a turn from now on, and how many workers it carries so.
-func (h *host) setSpeed(turn time.Duration, carries int) {
+// setSpeed sets how long a turn of the host's processor takes, and how many workers the host can then handle.
+func (h *host) setSpeed(turn time.Duration, capacity int) {
 	h.cpu.setTurn(turn)
-	h.capacity.Store(int64(carries))
+	h.capacity.Store(int64(capacity))
 }
 
-func (f *testCluster) configure(c sched.Config) {
-	if err := plain.Configure(f.store, c); err != nil {
-		f.t.Fatal(err)
+// configure writes the operators' configuration into the store.
+func (c *testCluster) configure(config sched.Config) {
+	if err := plain.Configure(c.store, config); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
 // listWorkers writes the workers into the directory.
-func (f *testCluster) listWorkers() {
-	if err := plain.List(f.store, f.workers.Members()); err != nil {
-		f.t.Fatal(err)
+func (c *testCluster) listWorkers() {
+	if err := plain.List(c.store, c.workers.Members()); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
+// start starts the host's process.
 func (h *host) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	h.cpu = &processor{turn: h.cpu.turn} // nothing of the former life waits
-	var client store.Multi = &slowStore{cpu: h.cpu, Multi: h.f.store.Client(func() multi.Mode {
+	h.cpu = &processor{turn: h.cpu.turn} // no turns of the former process are queued
+	var client store.Multi = &slowStore{cpu: h.cpu, Multi: h.cluster.store.Client(func() multi.Mode {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.f.partitioned(h.zone, "store") {
+		if h.cluster.partitioned(h.zone, "store") {
 			return multi.ModeSilent
 		}
 		return h.mode
 	})}
-	if h.f.wrapStore != nil {
-		client = h.f.wrapStore(client)
+	if h.cluster.wrapStore != nil {
+		client = h.cluster.wrapStore(client)
 	}
-	var crew drive.WorkerClient = &slowWorkers{cpu: h.cpu, WorkerClient: h.f.workers.From(func(w sched.Member) bool { return h.f.partitioned(h.zone, w.Zone) })}
-	if h.f.wrapWorkers != nil {
-		crew = h.f.wrapWorkers(crew)
+	var workers drive.WorkerClient = &slowWorkers{cpu: h.cpu, WorkerClient: h.cluster.workers.From(func(w sched.Member) bool { return h.cluster.partitioned(h.zone, w.Zone) })}
+	if h.cluster.wrapWorkers != nil {
+		workers = h.cluster.wrapWorkers(workers)
 	}
-	l := lead.New(lead.Options{Store: client, Name: h.name, Addr: h.name, LeaseTTL: drive.HolderLease, Log: logr.Discard(), HolderAlive: h.f.isHolding, Capacity: func() int { return int(h.capacity.Load()) }})
+	elector := lead.New(lead.Options{Store: client, Name: h.name, Addr: h.name, LeaseTTL: drive.HolderLease, Log: logr.Discard(), HolderAlive: h.cluster.isHolding, Capacity: func() int { return int(h.capacity.Load()) }})
 	h.wg.Go(func() {
-		l.Run(ctx, func(t *lead.Tenure) {
-			_ = drive.Run(drive.Options{ // its error tells of the tenure's end
-				Store: client, Workers: crew, Codec: plain.Codec(), Tenure: t, Log: logr.Discard(),
+		elector.Run(ctx, func(tenure *lead.Tenure) {
+			_ = drive.Run(drive.Options{ // an error only means that the tenure ended while loading
+				Store: client, Workers: workers, Codec: plain.Codec(), Tenure: tenure, Log: logr.Discard(),
 				WorkerLease: drive.WorkerLease(fakecrew.MaxHold), MaxWorkerLease: fakecrew.MaxHold, MaxUnconfirmed: drive.MaxUnconfirmed, MaxStopTime: fakecrew.MaxStop, JobRetention: time.Hour,
-			}, func(d *drive.Holder) { h.setHolder(d, t.Term()) })
+			}, func(holder *drive.Holder) { h.setHolder(holder, tenure.Term()) })
 			h.setHolder(nil, 0)
 		})
 	})
 }
 
-func (f *testCluster) isHolding(_ context.Context, holder lead.Holder) bool {
-	for _, h := range f.hosts {
+// isHolding reports whether the process that the store names as the holder is the holder.
+func (c *testCluster) isHolding(_ context.Context, holder lead.Holder) bool {
+	for _, h := range c.hosts {
 		if h.name == holder.Name {
 			d, _ := h.currentHolder()
 			return d != nil
@@ -146,12 +151,14 @@
 	return false
 }
 
+// setHolder sets the host's Holder and its term; nil and 0 while it isn't the holder.
 func (h *host) setHolder(d *drive.Holder, term int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.holder, h.term = d, term
 }
 
+// currentHolder returns the host's Holder and its term, or nil and 0.
 func (h *host) currentHolder() (*drive.Holder, int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -165,23 +172,24 @@
 	h.mode = m
 }
 
-// kill ends the process without a word.
+// kill ends the process; it neither resigns nor closes its lease.
 func (h *host) kill() {
 	h.cancel()
 	h.wg.Wait()
 }
 
-func (f *testCluster) stop() {
-	for _, h := range f.hosts {
+// stop ends all processes.
+func (c *testCluster) stop() {
+	for _, h := range c.hosts {
 		h.kill()
 	}
 }
 
-// holder returns the process that holds with the newest term, or nil.
-func (f *testCluster) holder() *host {
+// holder returns the host that is the holder with the newest term, or nil.
+func (c *testCluster) holder() *host {
 	var best *host
 	var newest int64
-	for _, h := range f.hosts {
+	for _, h := range c.hosts {
 		if d, term := h.currentHolder(); d != nil && term > newest {
 			best, newest = h, term
 		}
@@ -189,14 +197,14 @@
 	return best
 }
 
-// request asks the holder, waiting for one up to limit.
-func (f *testCluster) request(limit time.Duration, a drive.Request) drive.Reply {
+// request sends a request to the holder and waits up to limit for a holder and its reply.
+func (c *testCluster) request(limit time.Duration, req drive.Request) drive.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	for ctx.Err() == nil {
-		if h := f.holder(); h != nil {
+		if h := c.holder(); h != nil {
 			if d, _ := h.currentHolder(); d != nil {
-				return d.Handle(ctx, a)
+				return d.Handle(ctx, req)
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -204,32 +212,35 @@
 	return drive.RefusedReply("no holder", time.Second)
 }
 
-func (f *testCluster) submit(id string, steps ...sched.Step) drive.Reply {
+// submit submits a job.
+func (c *testCluster) submit(id string, steps ...sched.Step) drive.Reply {
 	data, err := json.Marshal(sched.Job{Spec: "x", Steps: steps})
 	if err != nil {
-		f.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	return f.request(2*time.Second, drive.Request{Verb: drive.VerbSubmit, Host: "h", Path: "/q/" + id, Job: data})
+	return c.request(2*time.Second, drive.Request{Verb: drive.VerbSubmit, Host: "h", Path: "/q/" + id, Job: data})
 }
 
-func (f *testCluster) state(id string) drive.Reply {
-	return f.request(2*time.Second, drive.Request{Verb: drive.VerbState, Host: "h", Path: "/q/" + id})
+// state requests the state of a job.
+func (c *testCluster) state(id string) drive.Reply {
+	return c.request(2*time.Second, drive.Request{Verb: drive.VerbState, Host: "h", Path: "/q/" + id})
 }
 
-func newStep(n int, after ...int) sched.Step {
-	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, DependsOn: after}
+// newStep returns a step of n tasks that depends on the given steps.
+func newStep(n int, dependsOn ...int) sched.Step {
+	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, DependsOn: dependsOn}
 }
 
-// awaitState waits up to limit for a job's state.
-func (f *testCluster) awaitState(limit time.Duration, id string, want sched.State) {
-	f.t.Helper()
+// awaitState waits up to limit until a job is in a state, and fails the test otherwise.
+func (c *testCluster) awaitState(limit time.Duration, id string, want sched.State) {
+	c.t.Helper()
 	end := time.Now().Add(limit)
 	var got drive.Reply
 	for time.Now().Before(end) {
-		if got = f.state(id); got.State == want {
+		if got = c.state(id); got.State == want {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	f.t.Errorf("job %s: %+v, want %s", id, got, want)
+	c.t.Errorf("job %s: %+v, want %s", id, got, want)
 }
--- a/internal/batch/drive/connect_test.go
+++ b/internal/batch/drive/connect_test.go
@@ -11,60 +11,62 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// connectTurns is how many more turns of a processor a call takes that needs a new connection.
+// connectTurns is how many additional processor turns a poll takes that needs a new connection.
 const connectTurns = 6
 
-// connectingWorkers is a crew to which polls need connections, kept while polls are answered.
+// connectingWorkers are workers whose polls need a connection, which stays open while polls are answered.
 type connectingWorkers struct {
 	*slowWorkers
 
 	mu        sync.Mutex
-	connected map[string]bool
+	connected map[string]bool // by worker id
 }
 
-func (c *connectingWorkers) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
-	c.mu.Lock()
-	open := c.connected[l.ID]
-	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, l.Wait+l.AnswerSlack)
+// Poll implements drive.WorkerClient.
+func (w *connectingWorkers) Poll(ctx context.Context, req sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
+	w.mu.Lock()
+	connected := w.connected[req.ID]
+	w.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, req.Wait+req.AnswerSlack)
 	defer cancel()
 	for range connectTurns {
-		if !open && !c.cpu.take(ctx) {
+		if !connected && !w.cpu.take(ctx) {
 			return sched.Report{}, sched.OutcomeUnknown
 		}
 	}
-	rep, out := c.slowWorkers.Poll(ctx, l, fence)
-	c.mu.Lock()
-	c.connected[l.ID] = out == sched.OutcomeDone
-	c.mu.Unlock()
-	return rep, out
+	report, outcome := w.slowWorkers.Poll(ctx, req, fence)
+	w.mu.Lock()
+	w.connected[req.ID] = outcome == sched.OutcomeDone
+	w.mu.Unlock()
+	return report, outcome
 }
 
-// Lasting tasks stand still on most workers after a change of holder. The new one polls all workers at once, its processor needs
-// longer for the connections than it waits for the answers, and it begins anew with all whose answers came too late.
+// Guards against long-running tasks that stay without a run on most workers after a change of holder. The new
+// holder polls all workers at once, its processor needs longer for the connections than it waits for the answers,
+// and it starts over with all workers whose answers came too late.
 func TestTakeoverOfManyWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 300
-		f := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
-		f.wrapWorkers = func(crew drive.WorkerClient) drive.WorkerClient {
-			return &connectingWorkers{slowWorkers: crew.(*slowWorkers), connected: map[string]bool{}}
+		c := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
+		c.wrapWorkers = func(client drive.WorkerClient) drive.WorkerClient {
+			return &connectingWorkers{slowWorkers: client.(*slowWorkers), connected: map[string]bool{}}
 		}
-		f.addHosts(2, strongTurn, strongCapacity)
+		c.addHosts(2, strongTurn, strongCapacity)
 		time.Sleep(8 * time.Second)
-		if r := f.submit("a", lastingStep(workers)); r.Result != drive.ResultDone {
+		if r := c.submit("a", longRunningStep(workers)); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
 		time.Sleep(8 * time.Second)
-		old := f.holder()
-		if old == nil {
-			t.Fatal("nobody holds")
+		former := c.holder()
+		if former == nil {
+			t.Fatal("no host is the holder")
 		}
-		old.kill()
-		if d := f.longestShortfall(20*time.Second, workers); d > maxOutage {
-			t.Errorf("lasting tasks were without a run for %s", d)
+		former.kill()
+		if outage := c.longestShortfall(20*time.Second, workers); outage > maxOutage {
+			t.Errorf("long-running tasks were without a run for %s", outage)
 		}
-		f.stop()
-		for _, fault := range f.workers.Faults() {
+		c.stop()
+		for _, fault := range c.workers.Faults() {
 			t.Error(fault)
 		}
 	})
--- a/internal/batch/drive/directory_test.go
+++ b/internal/batch/drive/directory_test.go
@@ -7,9 +7,10 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
+// Each revision of an entry is decoded once, and an entry that names no worker is skipped.
 func TestDirectoryDecoder(t *testing.T) {
 	decodes := 0
-	r := directoryDecoder{decode: func(e store.Entry) (sched.Member, bool) {
+	d := directoryDecoder{decode: func(e store.Entry) (sched.Member, bool) {
 		decodes++
 		return sched.Member{Incarnation: sched.Incarnation{ID: e.Key}, Addr: string(e.Value)}, len(e.Value) > 0
 	}}
@@ -26,12 +27,12 @@
 		{"nothing changed", []store.Entry{entry("a", "1", 1), entry("b", "2", 2)}, []string{"1", "2"}, 0},
 		{"one changed", []store.Entry{entry("a", "3", 5), entry("b", "2", 2)}, []string{"3", "2"}, 1},
 		{"one gone", []store.Entry{entry("b", "2", 2)}, []string{"2"}, 0},
-		{"back", []store.Entry{entry("a", "4", 7), entry("b", "2", 2)}, []string{"4", "2"}, 1},
+		{"one added again", []store.Entry{entry("a", "4", 7), entry("b", "2", 2)}, []string{"4", "2"}, 1},
 		{"one names no worker", []store.Entry{entry("a", "", 8), entry("b", "2", 2)}, []string{"2"}, 1},
 	} {
 		decodes = 0
 		var got []string
-		for _, m := range r.decodeAll(tt.entries) {
+		for _, m := range d.decodeAll(tt.entries) {
 			got = append(got, m.Addr)
 		}
 		if len(got) != len(tt.want) || decodes != tt.decodes {
--- a/internal/batch/drive/orders_test.go
+++ b/internal/batch/drive/orders_test.go
@@ -13,23 +13,25 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// maxLostStarts is a tenth of a thousand starts: what is lost and given again must stay a small part of the work.
+// maxLostStarts is a tenth of a thousand starts: starts that are lost and sent again must remain a small part of
+// the work.
 const maxLostStarts = 100
 
-// orderCounter counts a host's orders on their way to workers.
+// orderCounter counts the orders that a host sends to workers.
 type orderCounter struct {
 	drive.WorkerClient
-	delay  time.Duration   // added to each order's way
-	silent map[string]bool // workers that no order reaches
+	delay  time.Duration   // added to each order
+	silent map[string]bool // ids of workers that no order reaches
 
 	mu              sync.Mutex
-	starts          int
-	lost            int       // starts without an answer
-	lastStart       time.Time // when the newest start left
-	stopped         map[int64]bool
-	startsAfterStop int // starts that left after a stop of their run
+	starts          int            // starts sent
+	lost            int            // starts without an answer
+	lastStart       time.Time      // when the last start was sent
+	stopped         map[int64]bool // runs for which a stop was sent, by run number and task index
+	startsAfterStop int            // starts that were sent after a stop of their run
 }
 
+// SendOrder implements drive.WorkerClient.
 func (c *orderCounter) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
 	c.countSent(o)
 	wait.For(ctx, c.delay)
@@ -37,19 +39,20 @@
 		wait.For(ctx, callLimit)
 		return sched.OutcomeUnknown
 	}
-	out := c.WorkerClient.SendOrder(ctx, o, fence)
-	if o.Verb == sched.VerbStart && out == sched.OutcomeUnknown {
+	outcome := c.WorkerClient.SendOrder(ctx, o, fence)
+	if o.Verb == sched.VerbStart && outcome == sched.OutcomeUnknown {
 		c.mu.Lock()
 		c.lost++
 		c.mu.Unlock()
 	}
-	return out
+	return outcome
 }
 
+// countSent counts an order that is about to be sent.
 func (c *orderCounter) countSent(o sched.Order) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	key := o.Run*1000 + int64(o.Task.Index) // tasks of a step may have the same number
+	key := o.Run*1000 + int64(o.Task.Index) // runs of different tasks of a step may have the same number
 	switch o.Verb {
 	case sched.VerbStart:
 		c.starts++
@@ -62,84 +65,84 @@
 	}
 }
 
-// newCountedCluster is a fleet of one strong host, whose orders are counted.
-func newCountedCluster(t *testing.T, workers int, turn, slow time.Duration) (*testCluster, *orderCounter) {
-	c := &orderCounter{delay: slow, stopped: map[int64]bool{}}
-	f := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
-	f.wrapWorkers = func(crew drive.WorkerClient) drive.WorkerClient {
-		c.WorkerClient = crew
-		return c
+// newCountedCluster starts a cluster of one strong host whose orders are counted and delayed.
+func newCountedCluster(t *testing.T, workers int, turn, delay time.Duration) (*testCluster, *orderCounter) {
+	counter := &orderCounter{delay: delay, stopped: map[int64]bool{}}
+	c := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
+	c.wrapWorkers = func(client drive.WorkerClient) drive.WorkerClient {
+		counter.WorkerClient = client
+		return counter
 	}
-	f.addHosts(1, turn, strongCapacity)
+	c.addHosts(1, turn, strongCapacity)
 	time.Sleep(4 * time.Second)
-	return f, c
+	return c, counter
 }
 
-// Lasting tasks stand still for many seconds after a change of holder, though the new one is a large host. It sends
-// a thousand starts at once; its processor needs longer for them than it waits for an answer, so that
-// most count as lost, and the runs that came of them are stopped again.
+// Guards against long-running tasks that stay without a run for many seconds after a change of holder, although
+// the new holder is a large host. It sends a thousand starts at once; its processor needs longer for them than it
+// waits for an answer, so most count as lost, and the runs that they started are stopped again.
 func TestManyStartsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, c := newCountedCluster(t, 350, strongTurn, 0)
-		if r := f.submit("a", newStep(1000)); r.Result != drive.ResultDone {
+		c, counter := newCountedCluster(t, 350, strongTurn, 0)
+		if r := c.submit("a", newStep(1000)); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
-		if took := f.awaitRunning(1000, 20*time.Second); took > maxOutage {
+		if took := c.awaitRunning(1000, 20*time.Second); took > maxOutage {
 			t.Errorf("all tasks run after %v, want at most %v", took, maxOutage)
 		}
-		f.stop()
-		if c.lost > maxLostStarts || c.starts > 1000+maxLostStarts {
-			t.Errorf("%d starts for 1000 tasks, %d of them lost; want at most %d", c.starts, c.lost, maxLostStarts)
+		c.stop()
+		if counter.lost > maxLostStarts || counter.starts > 1000+maxLostStarts {
+			t.Errorf("%d starts for 1000 tasks, %d of them lost; want at most %d", counter.starts, counter.lost, maxLostStarts)
 		}
-		for _, fault := range f.workers.Faults() {
+		for _, fault := range c.workers.Faults() {
 			t.Error(fault)
 		}
 	})
 }
 
-// Many workers leave orders unanswered, while polls of them go well. Books that have nothing to do with these
-// start seconds late, behind orders that wait for answers which don't come. A worker that doesn't
-// answer may hold up its own orders only.
+// Many workers leave orders unanswered, but answer polls. Guards against tasks on other workers that start seconds
+// late because they queue behind orders whose answers don't come. A worker that doesn't answer may delay only its
+// own orders.
 func TestSilentWorkersDelayOnlyTheirOwnOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const workers, silent, each = 140, 60, 4
-		f, c := newCountedCluster(t, workers, 0, 0)
-		c.silent = map[string]bool{}
+		const workers, silent, perWorker = 140, 60, 4
+		c, counter := newCountedCluster(t, workers, 0, 0)
+		counter.silent = map[string]bool{}
 		for i := range silent {
-			c.silent[fmt.Sprintf("w%d", i)] = true
+			counter.silent[fmt.Sprintf("w%d", i)] = true
 		}
-		tasks := newStep(workers * each)
-		tasks.MaxPerWorker = each
-		f.submit("a", tasks)
-		if took := f.awaitRunning((workers-silent)*each, 5*time.Second); took > time.Second {
-			t.Errorf("all tasks of sound workers run after %v, want at most 1s", took)
+		tasks := newStep(workers * perWorker)
+		tasks.MaxPerWorker = perWorker
+		c.submit("a", tasks)
+		if took := c.awaitRunning((workers-silent)*perWorker, 5*time.Second); took > time.Second {
+			t.Errorf("all tasks of answering workers run after %v, want at most 1s", took)
 		}
-		f.stop()
-		for _, fault := range f.workers.Faults() {
+		c.stop()
+		for _, fault := range c.workers.Faults() {
 			t.Error(fault)
 		}
 	})
 }
 
-// A job's tasks start seconds after its cancel was acknowledged. Its workers are slow, and orders that haven't left
-// yet leave though nobody wants them any more.
+// Guards against tasks that start seconds after the cancellation of their job was acknowledged. The workers are
+// slow, and starts that are still queued are sent although they are no longer wanted.
 func TestCancelDropsQueuedStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, c := newCountedCluster(t, 70, 0, 200*time.Millisecond)
-		f.submit("a", newStep(1000))
+		c, counter := newCountedCluster(t, 70, 0, 200*time.Millisecond)
+		c.submit("a", newStep(1000))
 		time.Sleep(time.Second)
-		f.request(time.Second, drive.Request{Verb: drive.VerbCancel, Host: "h", Path: "/q/a"})
+		c.request(time.Second, drive.Request{Verb: drive.VerbCancel, Host: "h", Path: "/q/a"})
 		cancelled := time.Now()
 		time.Sleep(10 * time.Second)
-		if n := f.workers.Running(); n != 0 {
-			t.Errorf("%d tasks run on", n)
+		if n := c.workers.Running(); n != 0 {
+			t.Errorf("%d tasks still run", n)
 		}
-		f.stop()
-		if c.starts == 0 || c.lastStart.After(cancelled) {
-			t.Errorf("the last of %d starts left %v after the cancel", c.starts, c.lastStart.Sub(cancelled))
+		c.stop()
+		if counter.starts == 0 || counter.lastStart.After(cancelled) {
+			t.Errorf("the last of %d starts was sent %v after the cancellation", counter.starts, counter.lastStart.Sub(cancelled))
 		}
-		if c.startsAfterStop > 0 {
-			t.Errorf("%d starts left after a stop of their run", c.startsAfterStop)
+		if counter.startsAfterStop > 0 {
+			t.Errorf("%d starts were sent after a stop of their run", counter.startsAfterStop)
 		}
 	})
 }
--- a/internal/batch/drive/processor_test.go
+++ b/internal/batch/drive/processor_test.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// callLimit is how long a call may wait for a turn before its caller gives it up.
+	// callLimit is how long a call may wait for a processor turn before its caller gives up.
 	callLimit = 600 * time.Millisecond
-	// maxQueued bounds the turns that wait, in the time that they take.
+	// maxQueued bounds the queue of waiting turns, by the time that they take.
 	maxQueued = 2 * time.Second
-	// maxBurst is what a processor that was idle does at once, as one with a quota does: a weak
-	// host is as fast as any until there is much to do.
+	// maxBurst is the work that a processor does at once after being idle, like one with a CPU quota: a weak host
+	// is as fast as any other until the load is high.
 	maxBurst = 100 * time.Millisecond
 )
 
-// processor is that of a host: each call takes a turn there on its way out and one on its
-// way back, first come, first served. A caller that gives up doesn't get its turn's time back.
+// processor models the processor of a host. Each call takes a turn before it is sent and one when its answer
+// arrives, first come, first served. The turn of a caller that gives up is used nevertheless.
 type processor struct {
 	mu     sync.Mutex
-	turn   time.Duration // 0: takes no time
-	idleAt time.Time     // when all turns so far are over
+	turn   time.Duration // how long a turn takes; 0: no time
+	idleAt time.Time     // when all accepted turns are over
 }
 
 // setTurn sets how long a turn takes from now on.
@@ -36,7 +36,7 @@
 	p.turn = d
 }
 
-// take waits for a turn; false says that the caller has given up.
+// take takes a turn, and returns false if the caller gives up before its end.
 func (p *processor) take(ctx context.Context) bool {
 	p.mu.Lock()
 	if p.turn == 0 {
@@ -55,51 +55,53 @@
 	return wait.For(ctx, min(queue, callLimit)) && queue <= callLimit
 }
 
-// slowWorkers is a crew as a host reaches it whose processor is busy.
+// slowWorkers is a client of the workers on a host whose processor takes turns for each call.
 type slowWorkers struct {
 	drive.WorkerClient
 	cpu *processor
 }
 
-func (c *slowWorkers) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
-	if !c.cpu.take(ctx) {
+// Poll implements drive.WorkerClient.
+func (w *slowWorkers) Poll(ctx context.Context, req sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
+	if !w.cpu.take(ctx) {
 		return sched.Report{}, sched.OutcomeUnknown
 	}
-	rep, out := c.WorkerClient.Poll(ctx, l, fence)
-	if !c.cpu.take(ctx) {
+	report, outcome := w.WorkerClient.Poll(ctx, req, fence)
+	if !w.cpu.take(ctx) {
 		return sched.Report{}, sched.OutcomeUnknown
 	}
-	return rep, out
+	return report, outcome
 }
 
-func (c *slowWorkers) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
-	if !c.cpu.take(ctx) {
+// SendOrder implements drive.WorkerClient.
+func (w *slowWorkers) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
+	if !w.cpu.take(ctx) {
 		return sched.OutcomeUnknown
 	}
-	out := c.WorkerClient.SendOrder(ctx, o, fence)
-	if !c.cpu.take(ctx) {
+	outcome := w.WorkerClient.SendOrder(ctx, o, fence)
+	if !w.cpu.take(ctx) {
 		return sched.OutcomeUnknown
 	}
-	return out
+	return outcome
 }
 
-// slowStore is a store as a host reaches it whose processor is busy.
+// slowStore is a client of the store on a host whose processor takes turns for each call.
 type slowStore struct {
 	store.Multi
 	cpu *processor
 }
 
-// withTurns has a call take its turns.
+// withTurns makes a call with a processor turn before and after it.
 func withTurns[T any](ctx context.Context, cpu *processor, call func() (T, error)) (T, error) {
-	var none T
+	var zero T
 	if !cpu.take(ctx) {
-		return none, store.ErrUnknown
+		return zero, store.ErrUnknown
 	}
-	got, err := call()
+	result, err := call()
 	if !cpu.take(ctx) {
-		return none, store.ErrUnknown
+		return zero, store.ErrUnknown
 	}
-	return got, err
+	return result, err
 }
 
 func (s *slowStore) Get(ctx context.Context, key string) (store.Entry, error) {
--- a/internal/batch/drive/staleness_test.go
+++ b/internal/batch/drive/staleness_test.go
@@ -16,33 +16,36 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// maxStartsAfterLeave is how long operators allow starts on a worker that leaves.
+// maxStartsAfterLeave is how long after a worker has left operators tolerate starts on it.
 const maxStartsAfterLeave = 2 * time.Second
 
-// directoryFaultStore is a store whose reads of the directory can be made to fail or to take long.
+// directoryFaultStore is a store whose reads of the directory can be made to fail or to be slow.
 type directoryFaultStore struct {
 	store.Multi
-	beforeRead       func(context.Context) error // before each reading; nil: nothing
-	beforeWatchReply func(context.Context) error // before each watch's answer; nil: nothing
-	mu               *sync.Mutex
+	beforeRead       func(context.Context) error // called before each full read; nil: no fault
+	beforeWatchReply func(context.Context) error // called before each watch returns; nil: no fault
+	mu               *sync.Mutex                 // guards the faults
 }
 
-func (s *directoryFaultStore) runFault(ctx context.Context, prefix string, call *func(context.Context) error) error {
+// runFault runs a fault if the prefix is of the directory.
+func (s *directoryFaultStore) runFault(ctx context.Context, prefix string, fault *func(context.Context) error) error {
 	s.mu.Lock()
-	f := *call
+	run := *fault
 	s.mu.Unlock()
-	if f == nil || !strings.HasPrefix(prefix, plain.Codec().DirectoryPrefix) {
+	if run == nil || !strings.HasPrefix(prefix, plain.Codec().DirectoryPrefix) {
 		return nil
 	}
-	return f(ctx)
+	return run(ctx)
 }
 
+// setFaults sets both faults; nil ends one.
 func (s *directoryFaultStore) setFaults(read, watch func(context.Context) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beforeRead, s.beforeWatchReply = read, watch
 }
 
+// Range implements store.Multi.
 func (s *directoryFaultStore) Range(ctx context.Context, prefix string) (store.Page, error) {
 	if err := s.runFault(ctx, prefix, &s.beforeRead); err != nil {
 		return store.Page{}, err
@@ -50,89 +53,94 @@
 	return s.Multi.Range(ctx, prefix)
 }
 
+// Watch implements store.Multi.
 func (s *directoryFaultStore) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
 	changes, next, err := s.Multi.Watch(ctx, prefix, after, limit)
-	if dim := s.runFault(ctx, prefix, &s.beforeWatchReply); dim != nil {
-		return nil, after, dim
+	if fault := s.runFault(ctx, prefix, &s.beforeWatchReply); fault != nil {
+		return nil, after, fault
 	}
 	return changes, next, err
 }
 
+// refuseCall is a fault by which the store refuses a call.
 func refuseCall(context.Context) error { return store.ErrBusy }
 
-// hangCall lets a call go unanswered until its caller gives up.
+// hangCall is a fault by which a call stays unanswered until its caller gives up.
 func hangCall(ctx context.Context) error {
 	wait.For(ctx, callLimit)
 	return store.ErrUnknown
 }
 
-// delayCall is the longest time of a call to a slow store.
+// delayCall is a fault by which a call takes as long as the slowest call that still succeeds.
 func delayCall(ctx context.Context) error {
 	wait.For(ctx, callLimit)
 	return nil
 }
 
-// newFaultStoreCluster is a fleet of one host with a dimStore, whose starts are told to seen.
-func newFaultStoreCluster(t *testing.T, workers int, seen func(sched.Order)) (*testCluster, *directoryFaultStore) {
+// newFaultStoreCluster starts a cluster of one host whose store is a directoryFaultStore. onStart is called with
+// each start order.
+func newFaultStoreCluster(t *testing.T, workers int, onStart func(sched.Order)) (*testCluster, *directoryFaultStore) {
 	s := &directoryFaultStore{mu: &sync.Mutex{}}
-	f := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
-	f.wrapStore = func(m store.Multi) store.Multi {
+	c := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
+	c.wrapStore = func(m store.Multi) store.Multi {
 		s.Multi = m
 		return s
 	}
-	f.wrapWorkers = func(crew drive.WorkerClient) drive.WorkerClient { return &observedWorkers{crew, seen} }
-	f.addHosts(1, 0, strongCapacity)
+	c.wrapWorkers = func(client drive.WorkerClient) drive.WorkerClient { return &observedWorkers{client, onStart} }
+	c.addHosts(1, 0, strongCapacity)
 	time.Sleep(4 * time.Second)
-	return f, s
+	return c, s
 }
 
+// observedWorkers calls onStart with each start order that is sent to workers.
 type observedWorkers struct {
 	drive.WorkerClient
 	onStart func(sched.Order)
 }
 
-func (c *observedWorkers) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
+// SendOrder implements drive.WorkerClient.
+func (w *observedWorkers) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
 	if o.Verb == sched.VerbStart {
-		c.onStart(o)
+		w.onStart(o)
 	}
-	return c.WorkerClient.SendOrder(ctx, o, fence)
+	return w.WorkerClient.SendOrder(ctx, o, fence)
 }
 
-// Tasks start on a worker that left the directory seconds ago. The store confirms the holder all the while,
-// and refuses or leaves unanswered its readings of the directory.
+// Guards against starts on a worker that left the directory seconds ago. The store confirms the holder all the
+// time, but refuses its reads of the directory or leaves them unanswered.
 func TestNoStartsOnStaleDirectory(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		call func(context.Context) error
+		name  string
+		fault func(context.Context) error
 	}{{"refused", refuseCall}, {"unanswered", hangCall}} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const workers = 6
 				var mu sync.Mutex
-				var leaves time.Time
+				var leftAt time.Time
 				started := map[string]bool{}
-				f, s := newFaultStoreCluster(t, workers, func(o sched.Order) {
+				c, s := newFaultStoreCluster(t, workers, func(o sched.Order) {
 					mu.Lock()
 					defer mu.Unlock()
 					started[o.Incarnation.ID] = true
-					if o.Incarnation.ID == "w0" && time.Since(leaves) > maxStartsAfterLeave {
-						t.Errorf("a start on w0 leaves %v after the worker did", time.Since(leaves))
+					if o.Incarnation.ID == "w0" && time.Since(leftAt) > maxStartsAfterLeave {
+						t.Errorf("a start was sent to w0 %v after the worker left", time.Since(leftAt))
 					}
 				})
-				s.setFaults(tt.call, tt.call)
+				s.setFaults(tt.fault, tt.fault)
 				time.Sleep(100 * time.Millisecond)
-				f.store.Revoke(plain.Codec().DirectoryPrefix + "w0")
+				c.store.Revoke(plain.Codec().DirectoryPrefix + "w0")
 				mu.Lock()
-				leaves = time.Now()
+				leftAt = time.Now()
 				mu.Unlock()
 				time.Sleep(maxStartsAfterLeave + time.Second)
-				apart := newStep(workers)
-				apart.MaxPerWorker = 1
-				f.submit("a", apart)
+				step := newStep(workers)
+				step.MaxPerWorker = 1
+				c.submit("a", step)
 				time.Sleep(3 * time.Second)
 				s.setFaults(nil, nil)
 				time.Sleep(2 * time.Second)
-				f.stop()
+				c.stop()
 				if len(started) != workers-1 {
 					t.Errorf("tasks started on %d workers, want all %d that stay", len(started), workers-1)
 				}
@@ -141,41 +149,42 @@
 	}
 }
 
-// Starts are held back on sound workers where only the watch brings nothing and plain reads take their time.
+// Guards against blocked starts on healthy workers when only the watch returns nothing and full reads are slow.
 func TestSlowDirectoryReadsAllowStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := 0
+		starts := 0
 		var mu sync.Mutex
-		f, s := newFaultStoreCluster(t, 6, func(sched.Order) {
+		c, s := newFaultStoreCluster(t, 6, func(sched.Order) {
 			mu.Lock()
 			defer mu.Unlock()
-			n++
+			starts++
 		})
-		s.setFaults(delayCall, hangCall) // nothing changes, so that a watch ends once it has waited long
+		s.setFaults(delayCall, hangCall) // nothing changes, so a watch returns only after a long wait
 		for i := range 60 {
-			f.submit(fmt.Sprintf("j%d", i), newStep(1))
+			c.submit(fmt.Sprintf("j%d", i), newStep(1))
 			time.Sleep(90 * time.Millisecond)
 			mu.Lock()
-			if n != i+1 {
-				t.Errorf("%d of %d jobs have started", n, i+1)
+			if starts != i+1 {
+				t.Errorf("%d of %d jobs have started", starts, i+1)
 			}
 			mu.Unlock()
 		}
-		f.stop()
+		c.stop()
 	})
 }
 
-// A holder of thousands of workers spends its processor on reading the whole directory again and again, while the watch
-// brings each change. Without changes the plain reads go on: a watch may be cut off.
+// Guards against a holder of thousands of workers that spends its processor time on reading the whole directory
+// again and again although the watch delivers each change. Without changes the full reads continue, because a
+// watch may be cut off.
 func TestDirectoryReadInterval(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		changes     bool
 		least, most int
-	}{{"changing", true, 0, 2}, {"still", false, 8, 12}} {
+	}{{"changing", true, 0, 2}, {"unchanged", false, 8, 12}} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, s := newFaultStoreCluster(t, 6, func(sched.Order) {})
+				c, s := newFaultStoreCluster(t, 6, func(sched.Order) {})
 				reads := 0
 				s.setFaults(func(context.Context) error {
 					reads++
@@ -183,13 +192,13 @@
 				}, nil)
 				for range 100 {
 					if tt.changes {
-						f.listWorkers()
+						c.listWorkers()
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				f.stop()
+				c.stop()
 				if reads < tt.least || reads > tt.most {
-					t.Errorf("%d readings of the directory in 10s, want %d to %d", reads, tt.least, tt.most)
+					t.Errorf("%d full reads of the directory in 10s, want %d to %d", reads, tt.least, tt.most)
 				}
 			})
 		})
--- a/internal/batch/drive/takeover_test.go
+++ b/internal/batch/drive/takeover_test.go
@@ -11,51 +11,51 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// maxOutage is the operators' bound: 4 s after the last disturbance, a lasting task for which there is
-// room may be without a run for 3 s.
+// maxOutage is the operators' bound on the outage of a long-running task for which there are enough resources: 3 s
+// without a run, not counting the first 4 s after the last disturbance.
 const maxOutage = 7 * time.Second
 
 // endless is longer than any test.
 const endless = time.Hour
 
-// lastingStep is a step of n lastingStep tasks, at most three of which share a worker.
-func lastingStep(n int) sched.Step {
+// longRunningStep returns a step of n long-running tasks, at most three of them on one worker.
+func longRunningStep(n int) sched.Step {
 	return sched.Step{Count: n, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second, LongRunning: true, MaxPerWorker: 3}
 }
 
-// awaitRunning waits until n tasks run and returns how long that took.
-func (f *testCluster) awaitRunning(n int, limit time.Duration) time.Duration {
-	began := time.Now()
-	for f.workers.Running() < n && time.Since(began) < limit {
+// awaitRunning waits up to limit until n tasks run and returns how long that took.
+func (c *testCluster) awaitRunning(n int, limit time.Duration) time.Duration {
+	start := time.Now()
+	for c.workers.Running() < n && time.Since(start) < limit {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-// Feeds of a gift page stand still for nine seconds, with most of the workers' room free. The holder and a worker
-// lose power together; the next holder can't reach that worker, and what the former one had
-// started may still run there. It waits until that is impossible, longer than operators allow.
+// Guards against long-running tasks that stay without a run for nine seconds although most resources of the workers
+// are free. The holder and a worker lose power together. The next holder can't reach that worker, where runs of
+// the former holder may still be active, and waits until that is impossible, longer than operators allow.
 func TestHolderAndWorkerLostTogether(t *testing.T) {
-	for _, carries := range []int{0, 1, 4} { // of six workers; 0: not known
+	for _, capacity := range []int{0, 1, 4} { // how many of the six workers a host can handle; 0: unknown
 		for seed := range uint64(6) {
-			t.Run(fmt.Sprintf("%d/%d", carries, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d/%d", capacity, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					rng := newRand(seed)
-					f := newTestCluster(t, 0, 6, newRand(seed+100), runsFor(endless))
-					f.addHosts(3, 0, carries)
+					c := newTestCluster(t, 0, 6, newRand(seed+100), runsFor(endless))
+					c.addHosts(3, 0, capacity)
 					time.Sleep(4 * time.Second)
-					if r := f.submit("a", lastingStep(12)); r.Result != drive.ResultDone {
+					if r := c.submit("a", longRunningStep(12)); r.Result != drive.ResultDone {
 						t.Fatalf("submit: %+v", r)
 					}
-					f.awaitRunning(12, time.Second)
+					c.awaitRunning(12, time.Second)
 					time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
-					f.workers.Lose(fmt.Sprintf("w%d", rng.IntN(4)))
-					f.holder().kill()
-					if took := f.awaitRunning(12, 2*maxOutage); took > maxOutage {
+					c.workers.Lose(fmt.Sprintf("w%d", rng.IntN(4)))
+					c.holder().kill()
+					if took := c.awaitRunning(12, 2*maxOutage); took > maxOutage {
 						t.Errorf("all tasks run again after %v, want at most %v", took, maxOutage)
 					}
-					f.stop()
-					for _, fault := range f.workers.Faults() {
+					c.stop()
+					for _, fault := range c.workers.Faults() {
 						t.Error(fault)
 					}
 				})
@@ -64,26 +64,26 @@
 	}
 }
 
-// A failure domain is cut off with the holder in it, and the store takes the holder's key away at that
-// moment. The successor doesn't reach the workers over there, on which the former holder renews
-// leases as long as it may act: it must not start their tasks anew while they can run on.
+// The holder's failure domain is partitioned, and the store deletes the holder's key at the same moment. The
+// successor can't reach the workers on the other side, whose leases the former holder renews as long as it may
+// act. The successor must not restart their tasks while they may still run there.
 func TestPartitionedHolderRevoked(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rng := newRand(seed)
-				f := newTestCluster(t, 3, 6, newRand(seed+100), runsFor(endless))
+				c := newTestCluster(t, 3, 6, newRand(seed+100), runsFor(endless))
 				time.Sleep(3 * time.Second)
-				f.submit("a", lastingStep(12))
-				f.awaitRunning(12, time.Second)
+				c.submit("a", longRunningStep(12))
+				c.awaitRunning(12, time.Second)
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
-				f.setCutZone(f.holder().zone)
-				f.store.Revoke("lead/holder")
+				c.setCutZone(c.holder().zone)
+				c.store.Revoke("lead/holder")
 				time.Sleep(15 * time.Second)
-				f.setCutZone("")
+				c.setCutZone("")
 				time.Sleep(5 * time.Second)
-				f.stop()
-				for _, fault := range f.workers.Faults() {
+				c.stop()
+				for _, fault := range c.workers.Faults() {
 					t.Error(fault)
 				}
 			})
--- a/internal/batch/drive/weakhost_test.go
+++ b/internal/batch/drive/weakhost_test.go
@@ -10,113 +10,112 @@
 )
 
 const (
-	// strongTurn has the workers of the test take a sixth of a host's processor, and
-	// weakTurn more than all of it.
+	// With strongTurn the workers of the test take a sixth of a host's processor time, with weakTurn more than
+	// all of it.
 	strongTurn = time.Millisecond
 	weakTurn   = 8 * time.Millisecond
 
-	strongCapacity = 800 // workers
-	weakCapacity   = 100
+	strongCapacity = 800 // workers that a strong host can handle
+	weakCapacity   = 100 // workers that a weak host can handle
 
 	workerCount = 150
 	taskCount   = 100
 )
 
-// A feed that is to last stands still on most workers, for many seconds and again and again,
-// though all workers are sound and have room. The holder was lost, and of all hosts a weak one won
-// the race for its key. Its processor can't do the work of so many workers: orders time out, leases
-// of workers are renewed too late, and so is its own; then the next weak host takes over.
+// Guards against long-running tasks that stay without a run on most workers, for many seconds and repeatedly,
+// although all workers are healthy and have free resources. The holder is lost, and a weak host wins the election.
+// Its processor can't handle so many workers: orders time out, the leases of workers are renewed too late, and so
+// is its own; then the next weak host takes over.
 func TestWeakHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t, 0, workerCount, newRand(1), runsFor(time.Hour))
-		f.addHosts(2, strongTurn, strongCapacity)
-		time.Sleep(3 * time.Second) // one of these holds
-		f.addHosts(12, weakTurn, weakCapacity)
-		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, LongRunning: true}
-		if r := f.submit("a", lasting); r.Result != drive.ResultDone {
+		c := newTestCluster(t, 0, workerCount, newRand(1), runsFor(time.Hour))
+		c.addHosts(2, strongTurn, strongCapacity)
+		time.Sleep(3 * time.Second) // one of these is the holder
+		c.addHosts(12, weakTurn, weakCapacity)
+		step := sched.Step{Count: taskCount, Size: newStep(1).Size, LongRunning: true}
+		if r := c.submit("a", step); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
 		time.Sleep(3 * time.Second)
 		for range 8 {
-			old := f.holder()
-			if old == nil {
-				t.Error("nobody holds")
+			former := c.holder()
+			if former == nil {
+				t.Error("no host is the holder")
 				break
 			}
-			old.kill()
-			old.start()
-			if d := f.longestShortfall(12*time.Second, taskCount); d > maxOutage {
-				t.Errorf("after %s was lost, lasting tasks were without a run for %s", old.name, d)
+			former.kill()
+			former.start()
+			if outage := c.longestShortfall(12*time.Second, taskCount); outage > maxOutage {
+				t.Errorf("after %s was lost, long-running tasks were without a run for %s", former.name, outage)
 			}
 		}
-		if n := f.workers.Lapsed(); n > 0 {
-			t.Errorf("%d runs lapsed", n)
+		if n := c.workers.Lapsed(); n > 0 {
+			t.Errorf("the leases of %d runs expired", n)
 		}
-		f.stop()
-		for _, fault := range f.workers.Faults() {
+		c.stop()
+		for _, fault := range c.workers.Faults() {
 			t.Error(fault)
 		}
 	})
 }
 
-// Hundreds of runs lapse though all workers are sound. Some machines have turned slow as the holder is lost, and one
-// of them wins the race for its key.
+// Guards against hundreds of runs whose leases expire although all workers are healthy. Some hosts have become slow
+// when the holder is lost, and one of them wins the election.
 func TestSlowedHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t, 0, workerCount, newRand(1), runsFor(time.Hour))
-		f.addHosts(8, strongTurn, strongCapacity)
+		c := newTestCluster(t, 0, workerCount, newRand(1), runsFor(time.Hour))
+		c.addHosts(8, strongTurn, strongCapacity)
 		time.Sleep(3 * time.Second)
-		lasting := sched.Step{Count: taskCount, Size: newStep(1).Size, LongRunning: true}
-		if r := f.submit("a", lasting); r.Result != drive.ResultDone {
+		step := sched.Step{Count: taskCount, Size: newStep(1).Size, LongRunning: true}
+		if r := c.submit("a", step); r.Result != drive.ResultDone {
 			t.Fatalf("submit: %+v", r)
 		}
 		time.Sleep(3 * time.Second)
 		for range 4 {
-			old := f.holder()
-			if old == nil {
-				t.Error("nobody holds")
+			former := c.holder()
+			if former == nil {
+				t.Error("no host is the holder")
 				break
 			}
-			sound := f.hosts[0]
-			if sound == old {
-				sound = f.hosts[1]
+			fast := c.hosts[0]
+			if fast == former {
+				fast = c.hosts[1]
 			}
-			for _, h := range f.hosts {
-				if h != sound {
+			for _, h := range c.hosts {
+				if h != fast {
 					h.setSpeed(weakTurn, weakCapacity)
 				}
 			}
-			old.kill()
-			old.start()
-			if d := f.longestShortfall(12*time.Second, taskCount); d > maxOutage {
-				t.Errorf("after %s was lost, lasting tasks were without a run for %s", old.name, d)
+			former.kill()
+			former.start()
+			if outage := c.longestShortfall(12*time.Second, taskCount); outage > maxOutage {
+				t.Errorf("after %s was lost, long-running tasks were without a run for %s", former.name, outage)
 			}
-			for _, h := range f.hosts {
+			for _, h := range c.hosts {
 				h.setSpeed(strongTurn, strongCapacity)
 			}
 		}
-		if n := f.workers.Lapsed(); n > 0 {
-			t.Errorf("%d runs lapsed", n)
+		if n := c.workers.Lapsed(); n > 0 {
+			t.Errorf("the leases of %d runs expired", n)
 		}
-		f.stop()
-		for _, fault := range f.workers.Faults() {
+		c.stop()
+		for _, fault := range c.workers.Faults() {
 			t.Error(fault)
 		}
 	})
 }
 
-// longestShortfall watches the workers for a while and returns the longest time for which fewer than n
-// tasks ran there.
-func (f *testCluster) longestShortfall(span time.Duration, n int) time.Duration {
-	const every = 50 * time.Millisecond
-	var now, longest time.Duration
-	for range span / every {
-		time.Sleep(every)
-		f.workers.Lapsed() // leases that have run out end their runs
-		if now += every; f.workers.Running() >= n {
-			now = 0
+// longestShortfall watches the workers for span and returns the longest time during which fewer than n tasks ran.
+func (c *testCluster) longestShortfall(span time.Duration, n int) time.Duration {
+	const interval = 50 * time.Millisecond
+	var current, longest time.Duration
+	for range span / interval {
+		time.Sleep(interval)
+		c.workers.Lapsed() // ends the runs whose leases have expired
+		if current += interval; c.workers.Running() >= n {
+			current = 0
 		}
-		longest = max(longest, now)
+		longest = max(longest, current)
 	}
 	return longest
 }
