--- a/internal/batch/drive/holder.go
+++ b/internal/batch/drive/holder.go
@@ -69,8 +69,12 @@
 
 // Intervals, delays and limits of a Holder.
 const (
-	intentReadInterval    = 700 * time.Millisecond // between full reads of the intent: a change is read within a second even if the watch is cut off
-	directoryReadInterval = 900 * time.Millisecond // between full reads of the directory: even with a slow read the copy stays within the age that sched allows
+	// intentReadInterval is the interval of full reads of the intent. A change is read within a second even if the
+	// watch is cut off.
+	intentReadInterval = 700 * time.Millisecond
+	// directoryReadInterval is the interval of full reads of the directory. Even with a slow read the copy stays
+	// within the age that sched allows.
+	directoryReadInterval = 900 * time.Millisecond
 	directoryWatchPause   = 200 * time.Millisecond // between two watches of the directory, to which each worker writes about once a second
 	planInterval          = 100 * time.Millisecond // between plans without an event: leases expire, cooldowns end and occurrences fall due
 	minPlanPause          = 2 * time.Millisecond   // least pause after a plan, so that events close together share one plan
