--- a/internal/batch/sched/backoff.go
+++ b/internal/batch/sched/backoff.go
@@ -3,45 +3,48 @@
 import "time"
 
 const (
-	// stopDelay is how long a run is left alone after an order before a stop follows.
+	// stopDelay is the least time between the newest order to a run and a stop.
 	stopDelay = 300 * time.Millisecond
-	// maxUnsure is how long a poll may take to tell of a start without an answer, one that is under way included.
+	// maxUnsure is the longest time until a poll shows a run whose start got no answer. A poll that is in flight when
+	// the start is sent is included.
 	maxUnsure = pollIdle + stopDelay
-	// minThrottleInterval is the least time between two paces for a task.
+	// minThrottleInterval is the least time between the newest order to a run and a throttle.
 	minThrottleInterval = 200 * time.Millisecond
-	// minBackoff is the pause after the first of a run's orders without an answer, and
-	// resendMost the longest to which it grows.
+	// minBackoff is the pause after the first order to a run that got no answer, and maxBackoff is the
+	// longest to which the pause grows.
 	minBackoff = 300 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// backoff spaces out the orders of one kind about a run. Its zero value lets one be sent at once.
+// backoff spaces out the orders of one verb to a run. With its zero value the first order may be sent at once.
 //
-// Against a storm of orders: a worker that is busy, or a holder that is, leaves orders unanswered, and each one
-// sent anew before that needs another connection and more time of both. It shows as workers that
-// refuse connections and as polls without an answer. With one order under way at a time and
-// longer pauses, the orders to a run become fewer the longer nothing is answered.
+// It prevents a storm of orders. If a worker or the holder is busy, orders get no answer in time. Each order that is
+// repeated too early needs another connection and more time of both, until workers refuse
+// connections and polls get no answer either. With one order in flight at a time and growing
+// pauses, a run gets fewer orders the longer none is answered.
 type backoff struct {
-	inFlight  bool          // one is under way
-	notBefore time.Time     // none is sent before
-	pause     time.Duration // after the newest one without an answer
+	inFlight  bool          // an order awaits its answer
+	notBefore time.Time     // earliest time of the next order
+	pause     time.Duration // pause after the newest order without an answer; 0: the newest order was answered
 }
 
-func (p *backoff) ready(now time.Time) bool {
-	return !p.inFlight && !now.Before(p.notBefore)
+// ready reports whether an order may be sent.
+func (b *backoff) ready(now time.Time) bool {
+	return !b.inFlight && !now.Before(b.notBefore)
 }
 
-func (p *backoff) markSent() {
-	p.inFlight = true
+// markSent records that an order is in flight.
+func (b *backoff) markSent() {
+	b.inFlight = true
 }
 
-// markSettled notes that the order under way is settled, done or not.
-func (p *backoff) markSettled(now time.Time, done bool) {
-	p.inFlight = false
+// markSettled records that the order in flight was carried out (done) or got no usable answer.
+func (b *backoff) markSettled(now time.Time, done bool) {
+	b.inFlight = false
 	if done {
-		p.pause = 0
+		b.pause = 0
 		return
 	}
-	p.pause = min(max(2*p.pause, minBackoff), maxBackoff)
-	p.notBefore = now.Add(p.pause)
+	b.pause = min(max(2*b.pause, minBackoff), maxBackoff)
+	b.notBefore = now.Add(b.pause)
 }
--- a/internal/batch/sched/core.go
+++ b/internal/batch/sched/core.go
@@ -7,53 +7,53 @@
 	"bramleysail.example/bramleysail/internal/batch/interf"
 )
 
-// Options sets a Core's bounds.
+// Options are the settings of a Core.
 type Options struct {
-	WorkerLease    time.Duration // granted to workers, from this holder's last confirmation on; every run there ends when it runs out
-	MaxWorkerLease time.Duration // longest lease that workers grant; at least Lease
+	WorkerLease    time.Duration // lease of a worker, counted from the last confirmation; its runs end when it expires
+	MaxWorkerLease time.Duration // longest lease that workers grant; at least WorkerLease
 	MaxStopTime    time.Duration // longest time that a worker takes to stop a run
-	MaxUnconfirmed time.Duration // after a confirmation, for which tasks are started and leases granted
-	Term           int64         // of this holder, in the high part of every run number
+	MaxUnconfirmed time.Duration // how long after a confirmation tasks are started and leases granted
+	Term           int64         // this holder's term; the high part of every run number
 }
 
-// Core holds the jobs and workers of a holder's term.
+// Core keeps the jobs, workers and runs during one term of a holder.
 type Core struct {
 	opts             Options
-	config           Config
-	termStart        time.Time
+	config           Config    // in force
+	termStart        time.Time // when this holder's term began
 	confirmedByStore time.Time // when the store last confirmed this holder
 	confirmedByPeers time.Time // when its peers last did
-	// When the readings of the directory and of operators' intent began that are held; zero: not told.
+	// When the reads of the directory and of the operators' intent that are in use began; zero: not known.
 	directoryReadAt, intentReadAt time.Time
 
-	jobs               map[string]*job
-	waitQueue          waitQueue // steps with tasks that wait for a worker
-	storeQueue         storeQueue
-	recurring          []*job // with occurrences to come
-	workers            map[string]*worker
-	workersByID        []*worker               // the same, by id
-	workerIndexes      map[string]*workerIndex // by service
-	staleWorkers       []*worker               // whose place in rooms may be out of date
-	feasibleBuf        feasibleWorkers         // kept for its memory
-	candidateBuf       []reserveCandidate      // likewise
-	expectedEndBuf     []expectedEnd           // likewise
-	reserveScans       int                     // workers for which this plan has found out when they will have room
-	sampleCount        int                     // how often workers were sampled
-	evacuatedZones     map[string]bool         // failure domains that are taken out
-	startLimiter       startLimiter
-	planNumber         int            // so far
-	onTimeUnplaced     map[string]int // the newest of these, by service, in which a filling step that can be on time found no place
-	starvedRuns        int            // runs of starved jobs
-	infeasibleByClass  map[placementClass]*infeasibleSizes
-	estimator          durationEstimator
-	interference       interf.Model
-	lastMoveCheck      time.Time      // when slowed tasks were last looked at
-	unreportedUnplaced []UnplacedStep // to be told
-	unreportedPlaced   []StepPlaced   // to be told
-	unreportedEndings  []JobEnded     // to be told
-}
-
-// New returns the core of a term that began at now. It acts from its first confirmation on.
+	jobs               map[string]*job                     // by id
+	waitQueue          waitQueue                           // steps with tasks to place
+	storeQueue         storeQueue                          // jobs whose changed progress has to be stored
+	recurring          []*job                              // jobs with occurrences still to be released
+	workers            map[string]*worker                  // by id
+	workersByID        []*worker                           // the same, sorted by id
+	workerIndexes      map[string]*workerIndex             // by service
+	staleWorkers       []*worker                           // workers whose entry in workerIndexes may be out of date
+	feasibleBuf        feasibleWorkers                     // reused to save allocations
+	candidateBuf       []reserveCandidate                  // likewise
+	expectedEndBuf     []expectedEnd                       // likewise
+	reserveScans       int                                 // workers for which the current plan has estimated when a task fits
+	sampleCount        int                                 // how often workers were sampled
+	evacuatedZones     map[string]bool                     // failure domains that operators have taken out
+	startLimiter       startLimiter                        // bounds the starts in flight
+	planNumber         int                                 // number of the newest plan
+	onTimeUnplaced     map[string]int                      // by service: newest plan in which an on-time best-effort step found no worker
+	starvedRuns        int                                 // runs of starved jobs
+	infeasibleByClass  map[placementClass]*infeasibleSizes // sizes that found no worker
+	estimator          durationEstimator                   // expected durations of tasks
+	interference       interf.Model                        // what was learned of interference and load
+	lastMoveCheck      time.Time                           // when throttled tasks were last considered for a move
+	unreportedUnplaced []UnplacedStep                      // for the next call of TakeUnplacedSteps
+	unreportedPlaced   []StepPlaced                        // for the next call of TakeEvents
+	unreportedEndings  []JobEnded                          // for the next call of TakeEvents
+}
+
+// New returns a Core for a term that begins at now. It starts no tasks and grants no leases before its first confirmation.
 func New(opt Options, now time.Time) *Core {
 	opt.MaxWorkerLease = max(opt.MaxWorkerLease, opt.WorkerLease)
 	return &Core{
@@ -68,106 +68,108 @@
 	}
 }
 
-// job is a job with the progress of its occurrences.
+// job is a job with its progress.
 type job struct {
 	*Job
 	state            State
-	storedState      State // what the store holds too; callers are told no final state before
-	occurrences      []*occurrence
-	restored         bool // taken over from a former holder
-	started          bool // a task of it has started
-	endedAt          time.Time
-	failedRuns       map[TaskID]failedRuns
-	checkpoints      map[TaskID]string
-	version          int       // how often it has changed
-	collectedVersion int       // of these, known to the newest record that was taken to be stored
-	activeRuns       int       // runs on workers
-	idleSince        time.Time // since when a task of it waits with none running but as a starved job's; out of date while others run
-	inNormalQueue    bool      // in Core.changes
-	inUrgentQueue    bool      // there, with a caller waiting
-}
-
-// failedRuns are the runs of a task that failed. They are kept by number: an end that was stored
-// and not acknowledged is told again, to the next holder too, and ends of different workers
-// are told in any order.
+	storedState      State                 // state in the store; callers see a final state only once it is stored
+	occurrences      []*occurrence         // those released so far
+	restored         bool                  // taken over from a former holder
+	started          bool                  // a worker has started a task of it
+	endedAt          time.Time             // when it reached its final state
+	failedRuns       map[TaskID]failedRuns // by task
+	checkpoints      map[TaskID]string     // newest checkpoint of each task that has one
+	version          int                   // incremented with every change
+	collectedVersion int                   // version in the newest record that was collected for the store
+	activeRuns       int                   // runs in the ledgers of workers
+	idleSince        time.Time             // since when a task waits without any run but starved ones; out of date while others exist
+	inNormalQueue    bool                  // in storeQueue.normal
+	inUrgentQueue    bool                  // in storeQueue.urgent
+}
+
+// failedRuns holds the run numbers of a task's failed runs. A counter isn't enough: an end that was stored but
+// not acknowledged is reported again, also to the next holder, and the ends of different workers are
+// reported in any order.
 type failedRuns []int64
 
+// occurrence is one execution of all steps of a job. A job that doesn't recur has one.
 type occurrence struct {
 	steps            []*stepInstance
-	relativeDeadline time.Duration // for the occurrence to be on time
+	relativeDeadline time.Duration // time after its release within which it is on time
 }
 
-// stepInstance is a step of an occurrence.
+// stepInstance is a step of one occurrence, with its tasks.
 type stepInstance struct {
 	job               *job
-	occurrence        int
-	index             int
-	spec              *Step
-	tasks             []*task
-	pending           int // tasks without a run that aren't done
-	unfinished        int // tasks that aren't done
-	ready             bool
-	readyAt           time.Time
-	fullyPlaced       bool      // all of its tasks have had a place at a time
-	inWaitQueue       bool      // in Core.waiting
-	queuedAt          time.Time // when it was listed
-	precedence        precedence
-	infeasible        *infeasibleSizes // of its kind; nil: not looked up yet
-	starved           bool             // see Core.starve
-	releasedAt        time.Time
-	unplacedSince     time.Time            // since when a task of it has found no place; zero: none has lacked one
-	reportedWait      time.Duration        // how long it had waited when that was last told; 0: it wasn't
-	latestOnTimeStart time.Time            // latest start for the job to be on time
-	latestUsefulStart time.Time            // latest start for it to be worth something, late
-	durations         []time.Duration      // that its tasks ran which have ended
-	load              *interf.LoadForecast // of a serving step: its users' load
-}
-
+	occurrence        int                  // number of the occurrence, from 0
+	index             int                  // of the step in its job
+	spec              *Step                // what the job asks for
+	tasks             []*task              // by index
+	pending           int                  // tasks without a run that aren't done
+	unfinished        int                  // tasks that aren't done
+	ready             bool                 // the steps that it depends on are done
+	readyAt           time.Time            // when they were
+	fullyPlaced       bool                 // once, all of its tasks were placed at the same time
+	inWaitQueue       bool                 // in Core.waitQueue
+	queuedAt          time.Time            // when it entered the wait queue
+	precedence        precedence           // its rank in the wait queue
+	infeasible        *infeasibleSizes     // of its placement class; nil: not looked up yet
+	starved           bool                 // its job counts as starved; see Core.updateStarved
+	releasedAt        time.Time            // when the job was accepted or its occurrence fell due
+	unplacedSince     time.Time            // since when a task of it has found no worker; zero: none has lacked one
+	reportedWait      time.Duration        // how long it had been unplaced when that was last reported; 0: never reported
+	latestOnTimeStart time.Time            // latest start with which the occurrence is on time
+	latestUsefulStart time.Time            // latest start with which it ends late but useful
+	durations         []time.Duration      // of the runs of its tasks that have ended
+	load              *interf.LoadForecast // of a latency-critical step: the load from its users
+}
+
+// task is a task of a step instance.
 type task struct {
 	step          *stepInstance
-	index         int
-	done          bool
-	run           *run
-	lastRunNumber int64 // runs ordered in this term
-	soleRunSeen   bool  // its only run was seen alive in this term: no former holder's can be elsewhere
-	avoidWorker   string
+	index         int    // of the task in its step
+	done          bool   // it has succeeded
+	run           *run   // its current run; nil: none
+	lastRunNumber int64  // number of its newest run of this term; 0: none
+	soleRunSeen   bool   // its only run was seen alive in this term, so no run that a former holder started can be elsewhere
+	avoidWorker   string // id of the worker on which it failed or from which it was moved; empty: none
 }
 
 func (t *task) id() TaskID {
 	return TaskID{t.step.job.ID, t.step.occurrence, t.step.index, t.index}
 }
 
-// ConfirmHolder tells that this process was still the holder at a time.
+// ConfirmHolder records that the store confirmed this process as the holder at a time.
 func (c *Core) ConfirmHolder(at time.Time) {
 	if at.After(c.confirmedByStore) {
 		c.confirmedByStore = at
 	}
 }
 
-// ConfirmHolderByPeers tells that most of this holder's peers reach the store as little as it does, and know
-// of no other holder.
+// ConfirmHolderByPeers records that at a time most peers of this holder could not reach the store either and
+// knew of no other holder.
 func (c *Core) ConfirmHolderByPeers(at time.Time) {
 	if at.After(c.confirmedByPeers) {
 		c.confirmedByPeers = at
 	}
 }
 
-// formerLeasesEnd returns when all that a former holder has granted to workers has ended: its last confirmation is
-// older than this holder's term, and its leases count from there.
+// formerLeasesEnd returns when every lease that a former holder granted to workers has ended: these leases count
+// from the former holder's last confirmation, which is older than this holder's term.
 func (c *Core) formerLeasesEnd() time.Time {
 	return c.termStart.Add(c.expiryBound(c.opts.WorkerLease))
 }
 
-// expiryBound returns how long after its reading a worker's clock may take to pass a span, and the worker to
-// end all that runs then.
+// expiryBound returns the longest time from a reading of a worker's clock until that clock has advanced by d and
+// the worker has stopped all its runs.
 func (c *Core) expiryBound(d time.Duration) time.Duration {
 	return time.Duration(float64(d)/minClockRate) + c.opts.MaxStopTime + expirySlack
 }
 
 // mayAct reports whether this holder may start tasks and renew leases. A holder that is cut off
-// doesn't know of its successor, which waits until what the former one has started and
-// renewed must have ended. In an outage of the store for all there is no successor, and work
-// goes on.
+// doesn't know of its successor. The successor waits until all that the former holder started or
+// renewed must have ended. If the store is down for everyone, there is no successor and work
+// continues.
 func (c *Core) mayAct(now time.Time) bool {
 	return c.confirmationAge(now) < c.opts.MaxUnconfirmed
 }
@@ -177,17 +179,17 @@
 	return min(elapsedSince(now, c.confirmedByStore), elapsedSince(now, c.confirmedByPeers))
 }
 
-// elapsedSince returns how long ago a moment was, by the steady clock or the time of day, whichever says more.
+// elapsedSince returns how long ago a moment was, by the monotonic clock or the wall clock, whichever gives more.
 //
-// The failure it guards against: a machine is suspended, and its steady clock stands still. The holder
-// on it wakes and takes the store's last word for fresh, though a successor was chosen meanwhile; by a
-// lease that it grants on a worker which the successor doesn't reach, a task would run there beside
-// its next run. A time of day that is set forward makes the word look old only until the next one.
+// The monotonic clock stands still while a machine is suspended. Without the wall clock, a holder that
+// resumes would take the store's last confirmation for fresh although a successor was elected meanwhile. By a
+// lease that it then grants on a worker which the successor doesn't reach, a task would run there at the same
+// time as its next run. A wall clock that is set forward makes a confirmation look old only until the next one.
 func elapsedSince(now, at time.Time) time.Duration {
 	return max(now.Sub(at), now.Round(0).Sub(at.Round(0)))
 }
 
-// SetConfig takes a configuration; an older one than the present changes nothing.
+// SetConfig sets the configuration, unless it is older than the one in force.
 func (c *Core) SetConfig(conf Config) {
 	if conf.Version >= c.config.Version {
 		c.config = conf
@@ -199,12 +201,13 @@
 	return &c.config
 }
 
-// HasJob reports whether the job is known.
+// HasJob reports whether a job is known.
 func (c *Core) HasJob(id string) bool {
 	return c.jobs[id] != nil
 }
 
-// JobState returns a job's state as callers may be told.
+// JobState returns the state of a job as callers may see it, and whether the job is known. A job that has ended is
+// shown as running until its final state is stored.
 func (c *Core) JobState(id string) (State, bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -219,7 +222,7 @@
 	return StateQueued, true
 }
 
-// PendingJobs returns how many jobs of a queue have not started.
+// PendingJobs returns how many jobs of a queue have not started. Recurring jobs don't count.
 func (c *Core) PendingJobs(queue string) int {
 	n := 0
 	for _, j := range c.jobs {
@@ -230,7 +233,7 @@
 	return n
 }
 
-// AddJob takes a job that the store holds. One that is known already changes nothing.
+// AddJob adds a job that is in the store. It does nothing if the job is known already.
 func (c *Core) AddJob(now time.Time, spec *Job) {
 	if c.jobs[spec.ID] != nil {
 		return
@@ -238,6 +241,7 @@
 	c.registerJob(now, &job{Job: spec, state: StateQueued, storedState: StateQueued})
 }
 
+// registerJob enters a job and, unless it has ended, the occurrences that are due.
 func (c *Core) registerJob(now time.Time, j *job) {
 	c.jobs[j.ID] = j
 	if j.state.Final() {
@@ -251,7 +255,7 @@
 	c.addOccurrence(now, j)
 }
 
-// addDueOccurrencesOf adds the occurrences that have become due and reports whether more are to come.
+// addDueOccurrencesOf adds the occurrences of a recurring job that have fallen due, and reports whether more will.
 func (c *Core) addDueOccurrencesOf(now time.Time, j *job) bool {
 	for len(j.occurrences) < j.OccurrenceCount {
 		if now.Before(j.FirstDue.Add(time.Duration(len(j.occurrences)) * j.Interval)) {
@@ -262,53 +266,54 @@
 	return false
 }
 
+// addOccurrence adds the next occurrence of a job, with its deadlines.
 func (c *Core) addOccurrence(now time.Time, j *job) *occurrence {
-	k := len(j.occurrences)
-	at := j.AcceptedAt
+	number := len(j.occurrences)
+	released := j.AcceptedAt
 	if j.OccurrenceCount > 0 {
-		at = j.FirstDue.Add(time.Duration(k) * j.Interval)
+		released = j.FirstDue.Add(time.Duration(number) * j.Interval)
 	}
-	chains := c.criticalPaths(j.Job)
-	aim := j.DeadlineBase + time.Duration(j.StretchFactor*float64(slices.Max(chains)))
-	r := &occurrence{relativeDeadline: aim}
+	paths := c.criticalPaths(j.Job)
+	deadline := j.DeadlineBase + time.Duration(j.StretchFactor*float64(slices.Max(paths)))
+	o := &occurrence{relativeDeadline: deadline}
 	for i := range j.Steps {
 		s := &j.Steps[i]
-		st := &stepInstance{job: j, occurrence: k, index: i, spec: s, pending: s.Count, unfinished: s.Count, releasedAt: at}
-		st.latestOnTimeStart = at.Add(aim - chains[i])
-		st.latestUsefulStart = at.Add(usefulDeadlineFactor*aim - chains[i])
+		st := &stepInstance{job: j, occurrence: number, index: i, spec: s, pending: s.Count, unfinished: s.Count, releasedAt: released}
+		st.latestOnTimeStart = released.Add(deadline - paths[i])
+		st.latestUsefulStart = released.Add(usefulDeadlineFactor*deadline - paths[i])
 		st.tasks = make([]*task, s.Count)
 		for n := range st.tasks {
 			st.tasks[n] = &task{step: st, index: n}
 		}
-		r.steps = append(r.steps, st)
+		o.steps = append(o.steps, st)
 	}
-	j.occurrences = append(j.occurrences, r)
-	c.markReadySteps(now, j, r)
-	return r
+	j.occurrences = append(j.occurrences, o)
+	c.markReadySteps(now, j, o)
+	return o
 }
 
-// criticalPaths returns for each step the time of the longest chain of steps that begins with it, as
-// far as is known.
+// criticalPaths returns for each step the expected duration of the longest chain of dependent steps that
+// begins with it.
 func (c *Core) criticalPaths(j *Job) []time.Duration {
-	all := make([]time.Duration, len(j.Steps))
+	paths := make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
-		all[i] += c.estimator.estimate(j.Queue, j.Steps[i].Estimate)
-		for _, a := range j.Steps[i].DependsOn {
-			all[a] = max(all[a], all[i])
+		paths[i] += c.estimator.estimate(j.Queue, j.Steps[i].Estimate)
+		for _, d := range j.Steps[i].DependsOn {
+			paths[d] = max(paths[d], paths[i])
 		}
 	}
-	return all
+	return paths
 }
 
-// markReadySteps lets the steps start whose earlier steps are done.
-func (c *Core) markReadySteps(now time.Time, j *job, r *occurrence) {
-	for _, s := range r.steps {
+// markReadySteps marks the steps of an occurrence ready whose dependencies are done, and enqueues them.
+func (c *Core) markReadySteps(now time.Time, j *job, o *occurrence) {
+	for _, s := range o.steps {
 		if s.ready || s.unfinished == 0 {
 			continue
 		}
 		ready := true
-		for _, a := range s.spec.DependsOn {
-			if r.steps[a].unfinished > 0 {
+		for _, d := range s.spec.DependsOn {
+			if o.steps[d].unfinished > 0 {
 				ready = false
 			}
 		}
@@ -319,7 +324,7 @@
 	}
 }
 
-// enqueueStep puts a stage among those with tasks to place.
+// enqueueStep puts a step into the wait queue if it is ready and has tasks to place.
 func (c *Core) enqueueStep(s *stepInstance) {
 	if s.inWaitQueue || !s.ready || s.pending == 0 || s.job.state.Final() {
 		return
@@ -328,7 +333,7 @@
 	c.waitQueue.add(s)
 }
 
-// CancelJob ends a job and reports whether it is known. A job that has ended keeps its state.
+// CancelJob cancels a job and reports whether it is known. A job that has ended keeps its state.
 func (c *Core) CancelJob(now time.Time, id string) bool {
 	j := c.jobs[id]
 	if j == nil {
@@ -337,18 +342,18 @@
 	if !j.state.Final() {
 		c.finishJob(now, j, StateCancelled)
 	}
-	c.storeQueue.addUrgent(j) // stored once more for whoever waits for it
+	c.storeQueue.addUrgent(j) // also if it had ended: the caller waits until the state is stored
 	return true
 }
 
-// finishJob gives a job its final state; what still runs of it is stopped.
+// finishJob gives a job its final state and stops its runs.
 func (c *Core) finishJob(now time.Time, j *job, s State) {
 	j.state = s
 	j.endedAt = now
 	c.storeQueue.addNormal(j)
 	c.recordEnded(now, j)
-	for _, r := range j.occurrences {
-		for _, st := range r.steps {
+	for _, o := range j.occurrences {
+		for _, st := range o.steps {
 			for _, t := range st.tasks {
 				if t.run != nil {
 					c.stopRun(t.run)
@@ -358,25 +363,26 @@
 	}
 }
 
-// ForgetJobs drops jobs that ended longer than keep ago and returns the ids.
+// ForgetJobs drops the jobs that ended longer than keep ago, have their final state stored and no run left. It
+// returns their ids.
 func (c *Core) ForgetJobs(now time.Time, keep time.Duration) []string {
-	var gone []string
+	var forgotten []string
 	for id, j := range c.jobs {
 		if j.state.Final() && j.storedState == j.state && now.Sub(j.endedAt) > keep && j.activeRuns == 0 {
 			delete(c.jobs, id)
-			gone = append(gone, id)
+			forgotten = append(forgotten, id)
 		}
 	}
-	return gone
+	return forgotten
 }
 
-// completeIfDone finishes a job all of whose tasks are done.
+// completeIfDone finishes a job as completed if all tasks of all its occurrences are done.
 func (c *Core) completeIfDone(now time.Time, j *job) {
 	if j.state.Final() || len(j.occurrences) < max(j.OccurrenceCount, 1) {
 		return
 	}
-	for _, r := range j.occurrences {
-		for _, s := range r.steps {
+	for _, o := range j.occurrences {
+		for _, s := range o.steps {
 			if s.unfinished > 0 {
 				return
 			}
@@ -385,7 +391,7 @@
 	c.finishJob(now, j, StateCompleted)
 }
 
-// releaseRun parts a task from its run, so that it can be placed again.
+// releaseRun removes a run from its worker's ledger. Its task, unless done, can then be placed again.
 func (c *Core) releaseRun(r *run) {
 	c.detachRun(r)
 	t := r.task
@@ -400,20 +406,20 @@
 	c.enqueueStep(t.step)
 }
 
-// findTask returns the findTask of an id, or nil when there is none.
+// findTask returns the task of an id, or nil.
 func (c *Core) findTask(id TaskID) *task {
 	j := c.jobs[id.Job]
 	if j == nil || id.Occurrence >= len(j.occurrences) {
 		return nil
 	}
-	r := j.occurrences[id.Occurrence]
-	if id.Step >= len(r.steps) || id.Index >= len(r.steps[id.Step].tasks) {
+	o := j.occurrences[id.Occurrence]
+	if id.Step >= len(o.steps) || id.Index >= len(o.steps[id.Step].tasks) {
 		return nil
 	}
-	return r.steps[id.Step].tasks[id.Index]
+	return o.steps[id.Step].tasks[id.Index]
 }
 
-// jobOfTask returns the job of a task by the task's name, or nil.
+// jobOfTask returns the job of a task id in text form, or nil.
 func (c *Core) jobOfTask(name string) *job {
 	id, err := ParseTaskID(name)
 	if err != nil {
@@ -422,7 +428,7 @@
 	return c.jobs[id.Job]
 }
 
-// JobIDs returns the ids of all jobs known.
+// JobIDs returns the ids of all known jobs in no particular order.
 func (c *Core) JobIDs() []string {
 	ids := make([]string, 0, len(c.jobs))
 	for id := range c.jobs {
@@ -431,7 +437,7 @@
 	return ids
 }
 
-// HasUnackedEnds reports whether a worker has told ends that aren't stored yet.
+// HasUnackedEnds reports whether a worker has reported ends of runs that aren't stored, and so not acknowledged, yet.
 func (c *Core) HasUnackedEnds(id string) bool {
 	w := c.workers[id]
 	return w != nil && w.handledSeq > w.ackedSeq
--- a/internal/batch/sched/estimate.go
+++ b/internal/batch/sched/estimate.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// durationEstimator keeps for each queue how long its tasks take against the callers' estimates.
+// durationEstimator corrects the callers' estimates of task durations by what tasks of the same queue took.
 type durationEstimator struct {
-	ratios map[string]float64
+	ratios map[string]float64 // by queue: moving average of actual duration over estimate
 }
 
 const (
-	// smoothing is the weight of a new figure: some twenty ends are remembered.
+	// smoothing is the weight of a new value in the moving average, which so covers about the last twenty tasks.
 	smoothing = 0.05
-	// defaultEstimate stands in for a task's time where there is no estimate.
+	// defaultEstimate replaces a missing estimate.
 	defaultEstimate = time.Second
 )
 
-func (l *durationEstimator) observe(queue string, est, took time.Duration) {
+// observe adds what a task with an estimate took.
+func (e *durationEstimator) observe(queue string, est, took time.Duration) {
 	if est <= 0 {
 		return
 	}
-	if l.ratios == nil {
-		l.ratios = map[string]float64{}
+	if e.ratios == nil {
+		e.ratios = map[string]float64{}
 	}
-	x := float64(took) / float64(est)
-	old, ok := l.ratios[queue]
+	ratio := float64(took) / float64(est)
+	old, ok := e.ratios[queue]
 	if !ok {
 		old = 1
 	}
-	l.ratios[queue] = old + smoothing*(x-old)
+	e.ratios[queue] = old + smoothing*(ratio-old)
 }
 
-// estimate returns how long a task with that estimate will take.
-func (l *durationEstimator) estimate(queue string, est time.Duration) time.Duration {
+// estimate returns the expected duration of a task with the caller's estimate est.
+func (e *durationEstimator) estimate(queue string, est time.Duration) time.Duration {
 	if est <= 0 {
 		est = defaultEstimate
 	}
-	if r, ok := l.ratios[queue]; ok {
+	if r, ok := e.ratios[queue]; ok {
 		return time.Duration(r * float64(est))
 	}
 	return est
--- a/internal/batch/sched/events.go
+++ b/internal/batch/sched/events.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// StepPlaced tells that all tasks of a step have found a place.
+// StepPlaced is the event that all tasks of a step instance are placed for the first time.
 type StepPlaced struct {
-	Job          string
-	Queue        string
-	Occurrence   int
-	Step         int
-	Tasks        int
-	LongRunning  bool
-	Waited       time.Duration // since the step could begin
-	Unplaced     time.Duration // of that, since a task first found no place
-	ExpectedTime time.Duration // that a task takes
+	Job          string        // id of the job
+	Queue        string        // its queue
+	Occurrence   int           // number of the occurrence, from 0
+	Step         int           // index of the step
+	Tasks        int           // number of its tasks
+	LongRunning  bool          // Step.LongRunning
+	Waited       time.Duration // since the step was ready
+	Unplaced     time.Duration // since a task first found no worker; 0: none lacked one
+	ExpectedTime time.Duration // expected duration of a task
 }
 
-// JobEnded tells that a job has come to its final state.
+// JobEnded is the event that a job has reached its final state.
 type JobEnded struct {
-	Job              string
-	Queue            string
-	State            State
+	Job              string        // id of the job
+	Queue            string        // its queue
+	State            State         // its final state
 	Took             time.Duration // since it was accepted
-	RelativeDeadline time.Duration // within which it is on time; 0: it has occurrences
+	RelativeDeadline time.Duration // time within which it is on time; 0: the job is recurring
 }
 
-// maxEvents bounds what is kept to be told.
+// maxEvents bounds the events of each type that are kept until TakeEvents. Further ones are dropped.
 const maxEvents = 10_000
 
-// TakeEvents returns what is to be told of steps and jobs since the last call.
+// TakeEvents returns the events since its last call.
 func (c *Core) TakeEvents() ([]StepPlaced, []JobEnded) {
 	placed, endings := c.unreportedPlaced, c.unreportedEndings
 	c.unreportedPlaced, c.unreportedEndings = nil, nil
 	return placed, endings
 }
 
-// recordPlaced notes that no task of a step waits any more; only the first time counts. Of a step that was taken over it
-// isn't known since when it waits.
+// recordPlaced records the event that no task of a step waits any more, the first time only. Jobs that were taken over
+// from a former holder are left out: it isn't known since when their steps have waited.
 func (c *Core) recordPlaced(now time.Time, s *stepInstance) {
 	if s.fullyPlaced || s.job.restored || len(c.unreportedPlaced) >= maxEvents {
 		return
@@ -51,6 +51,7 @@
 	c.unreportedPlaced = append(c.unreportedPlaced, p)
 }
 
+// recordEnded records the event that a job has ended.
 func (c *Core) recordEnded(now time.Time, j *job) {
 	if len(c.unreportedEndings) >= maxEvents {
 		return
--- a/internal/batch/sched/job.go
+++ b/internal/batch/sched/job.go
@@ -11,10 +11,10 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// ErrInvalidJob wraps every error about what a job asks for.
+// ErrInvalidJob is wrapped by every error that Job.Validate returns.
 var ErrInvalidJob = errors.New("sched: invalid job")
 
-// State is how far a job is, as callers see it.
+// State is the state of a job as callers see it.
 type State string
 
 // The states of a job; the last three are final.
@@ -31,51 +31,54 @@
 	return s == StateCompleted || s == StateFailed || s == StateCancelled
 }
 
-// Step is a number of equal tasks of a job.
+// Step is a group of equal tasks of a job.
 type Step struct {
 	Count          int           `json:"count"`
-	Size           wire.Size     `json:"size"`              // of one task
-	Estimate       time.Duration `json:"est,omitempty"`     // the caller's guess of a task's time
-	DependsOn      []int         `json:"after,omitempty"`   // earlier steps that must be done first
-	Checkpointed   bool          `json:"saves,omitempty"`   // its progress is saved and can be resumed
-	Gang           bool          `json:"gang,omitempty"`    // its tasks work only all together
-	SameRack       bool          `json:"tight,omitempty"`   // slower when spread over racks
-	RequiredLabel  string        `json:"label,omitempty"`   // that its workers must carry
-	DataRack       string        `json:"rack,omitempty"`    // where its data lies; slower elsewhere
-	MaxPerWorker   int           `json:"apart,omitempty"`   // at most so many tasks on one worker; 0: any
-	Speculative    bool          `json:"copies,omitempty"`  // tasks may run more than once at a time
-	LongRunning    bool          `json:"lasting,omitempty"` // runs until cancelled, restarted however it ends
-	Image          string        `json:"image,omitempty"`   // tasks of one image behave alike
-	TailTarget     time.Duration `json:"target,omitempty"`  // tail latency that a serving task must keep; 0: not serving
-	BestEffort     bool          `json:"fills,omitempty"`   // uses only processor time that others leave
-	MaxUnavailable int           `json:"miss,omitempty"`    // tasks that may be away by our doing
+	Size           wire.Size     `json:"size"`              // resources of one task
+	Estimate       time.Duration `json:"est,omitempty"`     // the caller's estimate of a task's duration; 0: none
+	DependsOn      []int         `json:"after,omitempty"`   // indexes of earlier steps that must be done first
+	Checkpointed   bool          `json:"saves,omitempty"`   // its tasks save checkpoints from which a later run resumes
+	Gang           bool          `json:"gang,omitempty"`    // its tasks run only all at the same time
+	SameRack       bool          `json:"tight,omitempty"`   // a gang that is slower when spread over several racks
+	RequiredLabel  string        `json:"label,omitempty"`   // label that a worker must have to run it; empty: any worker
+	DataRack       string        `json:"rack,omitempty"`    // rack of its input data; its tasks are slower elsewhere
+	MaxPerWorker   int           `json:"apart,omitempty"`   // most tasks of the step on one worker; 0: no limit
+	Speculative    bool          `json:"copies,omitempty"`  // a task may have more than one run at a time
+	LongRunning    bool          `json:"lasting,omitempty"` // tasks run until the job is cancelled and are restarted however they end
+	Image          string        `json:"image,omitempty"`   // program of the tasks; tasks of one image cause and suffer the same interference
+	TailTarget     time.Duration `json:"target,omitempty"`  // tail latency to keep; 0: its tasks are not latency-critical
+	BestEffort     bool          `json:"fills,omitempty"`   // uses only CPU time that other tasks leave unused
+	MaxUnavailable int           `json:"miss,omitempty"`    // most tasks that the scheduler itself may make unavailable at a time
 }
 
-// Job is what a caller hands in, with what the configuration said of its queue then.
+// Job is what a caller submits, with the settings that its queue had at that time.
+//
+// An occurrence is on time if it ends within its relative deadline after its release:
+// DeadlineBase + StretchFactor x critical path.
 type Job struct {
 	ID              string        `json:"id"`
 	Queue           string        `json:"queue"`
-	Service         string        `json:"service"` // whose workers run it
-	Spec            string        `json:"spec"`    // passed to the worker as it is
+	Service         string        `json:"service"` // service whose workers run it
+	Spec            string        `json:"spec"`    // passed to the worker unchanged
 	Steps           []Step        `json:"steps"`
-	FirstDue        time.Time     `json:"first,omitzero"`  // when the first occurrence is due
-	Interval        time.Duration `json:"every,omitempty"` // between two occurrences
-	OccurrenceCount int           `json:"times,omitempty"` // occurrences; 0: a job that runs once, now
-	Priority        int           `json:"prio,omitempty"`  // 0 comes first
-	MaxAttempts     int           `json:"tries"`           // failed runs of a task after which the job has failed
-	StretchFactor   float64       `json:"stretch,omitempty"`
-	DeadlineBase    time.Duration `json:"aim,omitempty"` // allowed beyond Stretch times the work
-	AcceptedAt      time.Time     `json:"at"`            // when it was accepted
+	FirstDue        time.Time     `json:"first,omitzero"`    // when the first occurrence is released, for a recurring job
+	Interval        time.Duration `json:"every,omitempty"`   // time between two occurrences
+	OccurrenceCount int           `json:"times,omitempty"`   // number of occurrences; 0: the job runs once, released when it is accepted
+	Priority        int           `json:"prio,omitempty"`    // jobs of lower numbers are placed first
+	MaxAttempts     int           `json:"tries"`             // failed runs of one task that make the job fail
+	StretchFactor   float64       `json:"stretch,omitempty"` // multiple of the critical path in the relative deadline
+	DeadlineBase    time.Duration `json:"aim,omitempty"`     // constant part of the relative deadline
+	AcceptedAt      time.Time     `json:"at"`                // when the job was accepted
 }
 
-// Bounds of a job, far above what callers send; they keep one hand-in from taking a host's memory.
+// Limits of a job, far above what callers send. They keep one submission from using up a host's memory.
 const (
 	maxSteps       = 64
 	maxTasks       = 10_000
 	maxOccurrences = 100_000
 )
 
-// Validate returns an error that names the first thing wrong with the job.
+// Validate returns an error that names the first invalid value of the job, or nil.
 func (j *Job) Validate() error {
 	if len(j.Steps) == 0 || len(j.Steps) > maxSteps {
 		return errors.Wrapf(ErrInvalidJob, "%d steps, allowed are 1 to %d", len(j.Steps), maxSteps)
@@ -103,20 +106,20 @@
 	return nil
 }
 
-// TaskID names a task of a job's occurrence.
+// TaskID identifies a task.
 type TaskID struct {
-	Job        string
-	Occurrence int // the occurrence, from 0
-	Step       int
-	Index      int
+	Job        string // id of the job
+	Occurrence int    // number of the job's occurrence, from 0
+	Step       int    // index of the step in Job.Steps
+	Index      int    // index of the task in its step
 }
 
-// String returns the name as JOB.ROUND.STEP.INDEX.
+// String returns the id in the form JOB.OCCURRENCE.STEP.INDEX.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
 
-// ParseTaskID reads what String writes.
+// ParseTaskID parses the form that TaskID.String returns.
 func ParseTaskID(s string) (TaskID, error) {
 	p := strings.Split(s, ".")
 	if len(p) != 4 {
@@ -133,26 +136,27 @@
 	return TaskID{p[0], n[0], n[1], n[2]}, nil
 }
 
-// Queue is a way in for jobs.
+// Queue accepts the jobs that are submitted under one host and path prefix. Jobs take its settings when they are accepted.
 type Queue struct {
 	Name     string
-	Host     string
-	Prefix   string
-	Service  string
-	Priority int
-	Tries    int
-	Stretch  float64
-	Aim      time.Duration
-	Advised  bool // only a service of the operators knows which workers may run its steps
+	Host     string        // host name of the requests that it accepts
+	Prefix   string        // path prefix of these
+	Service  string        // Job.Service
+	Priority int           // Job.Priority
+	Tries    int           // Job.MaxAttempts
+	Stretch  float64       // Job.StretchFactor
+	Aim      time.Duration // Job.DeadlineBase
+	Advised  bool          // a service of the operators decides which workers may run its steps; not served
 }
 
-// Config is what operators have set, with a version that only grows.
+// Config is the configuration that operators have set. Version only grows.
 type Config struct {
 	Version int64
 	Queues  []Queue
 }
 
-// MatchQueue returns the queue for a host and path: of those for the host, the one with the longest prefix.
+// MatchQueue returns the queue for a host and path, and whether there is one. Of the host's queues whose prefix
+// matches, it is the one with the longest prefix.
 func (c *Config) MatchQueue(host, path string) (Queue, bool) {
 	var best Queue
 	found := false
--- a/internal/batch/sched/limiter.go
+++ b/internal/batch/sched/limiter.go
@@ -5,90 +5,93 @@
 	"time"
 )
 
-// startLimiter bounds the starts under way to what this process and its workers answer in time. A task that waits for
-// its turn takes no room on a worker, and the next turn goes to whatever comes first by then.
+// startLimiter bounds the starts in flight to what this process and its workers answer in time. The window grows by one
+// with each prompt answer while it limits starts, and halves while late answers outnumber prompt ones. A task that is
+// held up by the window takes no resources on a worker; the steps that are first in the wait queue by then go next.
 //
-// The failure it guards against: after a takeover a thousand starts leave at once, the holder needs longer to send
-// them than it waits for their answers, and tasks that run are taken for lost and begun anew.
+// Without it, a thousand starts would be sent at once after a takeover. The holder would need longer to send them
+// than it waits for their answers, so tasks that run would be taken for lost and started again.
 type startLimiter struct {
-	window        int    // starts that may be under way; 0: flowFirst
-	available     int    // of these, not taken yet
-	limited       bool   // the window kept a start from being planned
-	inFlight      []*run // started of late, the oldest first
-	intervalStart time.Time
-	promptAnswers int // answers since began
-	lateAnswers   int
+	window        int       // starts that may be in flight; 0: initialWindow
+	available     int       // starts that the current plan may still add
+	limited       bool      // the window kept a start from being planned
+	inFlight      []*run    // runs whose start was sent recently and isn't answered, oldest first
+	intervalStart time.Time // since when answers are counted
+	promptAnswers int       // prompt answers since then
+	lateAnswers   int       // late answers, and starts without one, since then
 }
 
 const (
 	initialWindow = 64
 	minWindow     = 8
 	maxWindow     = 1024
-	// promptAnswer is how long at most a start's answer takes when nothing holds it up, and lateAnswer from when
-	// on something does.
+	// promptAnswer is the longest time that the answer to a start takes when nothing delays it. An answer that takes
+	// lateAnswer or longer was delayed.
 	promptAnswer = 50 * time.Millisecond
 	lateAnswer   = 150 * time.Millisecond
-	// shrinkInterval is how often the window may shrink.
+	// shrinkInterval is the least time between two reductions of the window.
 	shrinkInterval = 200 * time.Millisecond
-	// inFlightTimeout is how long a start without an answer counts: workers that don't answer hold up nobody else.
+	// inFlightTimeout is how long a start without an answer counts as in flight, so that workers that don't answer
+	// don't delay the starts on others.
 	inFlightTimeout = 300 * time.Millisecond
 )
 
-// refresh finds out how many starts may leave now.
-func (f *startLimiter) refresh(now time.Time) {
-	if f.window == 0 {
-		f.window = initialWindow
+// refresh computes how many starts the next plan may add.
+func (l *startLimiter) refresh(now time.Time) {
+	if l.window == 0 {
+		l.window = initialWindow
 	}
-	f.inFlight = slices.DeleteFunc(f.inFlight, func(r *run) bool {
+	l.inFlight = slices.DeleteFunc(l.inFlight, func(r *run) bool {
 		return r.state != RunSent || r.task == nil || r.task.run != r || now.Sub(r.orderedAt) >= inFlightTimeout
 	})
-	f.available = f.window - len(f.inFlight)
-	f.limited = false
+	l.available = l.window - len(l.inFlight)
+	l.limited = false
 }
 
-// allows reports whether n starts may leave; more than the window may once nothing else is under way.
-func (f *startLimiter) allows(n int) bool {
-	if f.available >= min(n, f.window) {
+// allows reports whether n more starts may be sent. More than the window are allowed when no other start is in flight.
+func (l *startLimiter) allows(n int) bool {
+	if l.available >= min(n, l.window) {
 		return true
 	}
-	f.limited = true
+	l.limited = true
 	return false
 }
 
-func (f *startLimiter) add(r *run) {
-	f.available--
-	f.inFlight = append(f.inFlight, r)
+// add counts the start of a run.
+func (l *startLimiter) add(r *run) {
+	l.available--
+	l.inFlight = append(l.inFlight, r)
 }
 
-// cancelNewest takes back the newest n starts, which haven't left.
-func (f *startLimiter) cancelNewest(n int) {
-	f.available += n
-	f.inFlight = f.inFlight[:len(f.inFlight)-n]
+// cancelNewest removes the newest n starts, which were planned but not sent.
+func (l *startLimiter) cancelNewest(n int) {
+	l.available += n
+	l.inFlight = l.inFlight[:len(l.inFlight)-n]
 }
 
-// recordAnswer takes the outcome of a start that left some time ago.
-func (f *startLimiter) recordAnswer(now time.Time, took time.Duration, out Outcome) {
+// recordAnswer adapts the window to the outcome of a start and the time that its answer took.
+func (l *startLimiter) recordAnswer(now time.Time, took time.Duration, out Outcome) {
 	switch {
 	case out == OutcomeUnsent:
 		return
 	case out == OutcomeUnknown || took >= lateAnswer:
-		f.lateAnswers++
+		l.lateAnswers++
 	case took < promptAnswer:
-		f.promptAnswers++
-		if f.limited {
-			f.window = min(f.window+1, maxWindow)
+		l.promptAnswers++
+		if l.limited {
+			l.window = min(l.window+1, maxWindow)
 		}
 	}
-	if now.Sub(f.intervalStart) < shrinkInterval {
+	if now.Sub(l.intervalStart) < shrinkInterval {
 		return
 	}
-	if f.lateAnswers > f.promptAnswers {
-		f.window = max(f.window/2, minWindow)
+	if l.lateAnswers > l.promptAnswers {
+		l.window = max(l.window/2, minWindow)
 	}
-	f.intervalStart, f.promptAnswers, f.lateAnswers = now, 0, 0
+	l.intervalStart, l.promptAnswers, l.lateAnswers = now, 0, 0
 }
 
-// StartsLimited reports whether tasks wait only because as many starts are under way as are answered in time.
+// StartsLimited reports whether the newest plan left out tasks because the window of starts in flight was full.
 func (c *Core) StartsLimited() bool {
 	return c.startLimiter.limited
 }
--- a/internal/batch/sched/model.go
+++ b/internal/batch/sched/model.go
@@ -10,54 +10,54 @@
 	"bramleysail.example/bramleysail/internal/batch/interf"
 )
 
-// storedModel is the model as it is stored.
+// storedModel is the interference model with the load forecasts as it is stored.
 type storedModel struct {
 	interf.State
-	Loads []storedLoad `json:"loads,omitempty"`
+	Loads []storedLoad `json:"loads,omitempty"` // of all latency-critical steps with a forecast
 }
 
-// storedLoad is the load of a step.
+// storedLoad is the load forecast of a latency-critical step as it is stored.
 type storedLoad struct {
 	Job   string `json:"job"`
-	Round int    `json:"round,omitempty"`
-	Step  int    `json:"step,omitempty"`
+	Round int    `json:"round,omitempty"` // number of the occurrence
+	Step  int    `json:"step,omitempty"`  // index of the step
 	interf.LoadFit
 }
 
-// EncodeModel returns what has been learned of images and loads, for a next holder: learning it anew
-// takes some ten seconds, in which serving tasks are disturbed or filling ones wait.
+// EncodeModel encodes what was learned of interference and load, for the next holder. Learning it anew
+// takes about ten seconds, in which latency-critical tasks are disturbed or best-effort tasks wait.
 func (c *Core) EncodeModel() ([]byte, error) {
-	l := storedModel{State: c.interference.State()}
+	m := storedModel{State: c.interference.State()}
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if c.jobs[id].state.Final() {
 			continue
 		}
-		for _, r := range c.jobs[id].occurrences {
-			for _, s := range r.steps {
+		for _, o := range c.jobs[id].occurrences {
+			for _, s := range o.steps {
 				if s.load == nil {
 					continue
 				}
 				if f, ok := c.interference.Fit(s.load); ok {
-					l.Loads = append(l.Loads, storedLoad{id, s.occurrence, s.index, f})
+					m.Loads = append(m.Loads, storedLoad{id, s.occurrence, s.index, f})
 				}
 			}
 		}
 	}
-	data, err := json.Marshal(l)
+	data, err := json.Marshal(m)
 	return data, errors.Wrap(err, "sched")
 }
 
-// RestoreModel takes what a former holder has learned, of the jobs that are known here.
+// RestoreModel restores what a former holder has learned. Loads of jobs that aren't known here are ignored.
 func (c *Core) RestoreModel(data []byte) error {
-	var l storedModel
-	if err := json.Unmarshal(data, &l); err != nil {
-		return errors.Wrap(err, "sched: learned")
+	var m storedModel
+	if err := json.Unmarshal(data, &m); err != nil {
+		return errors.Wrap(err, "sched: decode interference model")
 	}
 	now := c.modelTime(c.termStart)
-	c.interference.Restore(now, l.State)
-	for _, f := range l.Loads {
-		if t := c.findTask(TaskID{Job: f.Job, Occurrence: f.Round, Step: f.Step}); t != nil {
-			c.interference.SeedLoad(c.loadOf(t.step), now, f.LoadFit)
+	c.interference.Restore(now, m.State)
+	for _, l := range m.Loads {
+		if t := c.findTask(TaskID{Job: l.Job, Occurrence: l.Round, Step: l.Step}); t != nil {
+			c.interference.SeedLoad(c.loadOf(t.step), now, l.LoadFit)
 		}
 	}
 	return nil
--- a/internal/batch/sched/outcome.go
+++ b/internal/batch/sched/outcome.go
@@ -5,15 +5,15 @@
 )
 
 const (
-	// sickCooldown is how long a worker that refused a start gets none.
+	// sickCooldown is how long a worker gets no start after it refused one as unavailable.
 	sickCooldown = time.Second
-	// roomCooldown is how long a worker gets no start after it had less room than the ledger says:
-	// a run that is being stopped still counts there.
+	// roomCooldown is how long a worker gets no start after it had less free than the ledger says:
+	// a run that is being stopped still takes resources on the worker.
 	roomCooldown = 100 * time.Millisecond
 )
 
-// HandleOutcome takes the outcome of an order. Each order that Plan returned has to be answered, unless the term is
-// over: no other of its kind is sent to its run before.
+// HandleOutcome records the outcome of an order. Unless the term is over, it must be called for each order that Plan
+// returned: until then, no other order of its verb is sent to its run.
 func (c *Core) HandleOutcome(now time.Time, o Order, out Outcome) {
 	w := c.workers[o.Incarnation.ID]
 	if w == nil {
@@ -21,7 +21,7 @@
 	}
 	r := w.runs[runKey{o.Task, o.Run}]
 	if r != nil {
-		// Also where the answer is of a former life: the run may stay, and be ordered about again.
+		// This holds for an order to a former incarnation too: the run may stay in the ledger and get further orders.
 		r.settleOrder(now, o.Verb, out)
 		if o.Verb == VerbStart {
 			c.startLimiter.recordAnswer(now, now.Sub(r.orderedAt), out)
@@ -53,7 +53,7 @@
 	}
 }
 
-// settleOrder notes that an order about a run is no longer under way.
+// settleOrder records that a stop or throttle of the run is no longer in flight.
 func (r *run) settleOrder(now time.Time, v Verb, out Outcome) {
 	switch v {
 	case VerbStop:
@@ -63,6 +63,7 @@
 	}
 }
 
+// handleStartOutcome updates the run, its job and its worker by the outcome of a start.
 func (c *Core) handleStartOutcome(now time.Time, w *worker, r *run, out Outcome) {
 	if r.task != nil && (out == OutcomeDone || out == OutcomeRunEnded) {
 		r.task.step.job.started = true
@@ -74,7 +75,7 @@
 			r.confirmedAt = now
 		}
 		if r.starved {
-			c.updateCPULimits(now, w) // until the next reading it would disturb at full speed
+			c.updateCPULimits(now, w) // at full speed it would disturb latency-critical tasks until the next measurement
 		}
 	case OutcomeUnknown, OutcomeInvalid:
 		if r.state == RunSent {
@@ -82,7 +83,7 @@
 			r.orderedAt = now
 		}
 	case OutcomeRunEnded:
-		// It did run there and has ended; the next poll tells how.
+		// The run was there and has ended; the next poll reports how.
 		r.state = RunStopped
 		r.confirmedAt = now
 	case OutcomeNoResources:
@@ -96,6 +97,7 @@
 	}
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/batch/sched/record.go
+++ b/internal/batch/sched/record.go
@@ -8,45 +8,44 @@
 	"github.com/pkg/errors"
 )
 
-// storedProgress is what the store holds of a job beside the job itself.
+// storedProgress is the progress of a job as it is stored, beside the job itself.
 type storedProgress struct {
 	State       State                 `json:"state"`
 	Queue       string                `json:"queue,omitempty"`
 	EndedAt     time.Time             `json:"ended,omitzero"`
 	Started     bool                  `json:"begun,omitempty"`
-	Done        [][]string            `json:"done,omitempty"` // for each occurrence and step the tasks that are done, a bit each, in hexadecimal
+	Done        [][]string            `json:"done,omitempty"` // for each occurrence and step, one bit per task that is done, in hexadecimal
 	FailedRuns  map[string]failedRuns `json:"tries,omitempty"`
 	Checkpoints map[string]string     `json:"saves,omitempty"`
 }
 
-// JobRecord is a job's progress to be stored under its id; Final says that the job itself
-// need not be kept any longer.
+// JobRecord is the encoded progress of a job.
 type JobRecord struct {
-	ID    string
-	Data  []byte
-	Final bool
+	ID    string // id of the job
+	Data  []byte // its progress
+	Final bool   // it has ended; the store need not keep the job itself any longer
 }
 
-// Batch is what has to be stored together, and what follows once it is.
+// Batch is a set of records to be stored together, and what to update once they are.
 type Batch struct {
 	Records []JobRecord
-	states  map[string]State
-	acks    []ack
+	states  map[string]State // states of the jobs in Records, by id
+	acks    []ack            // ends that may be acknowledged afterwards
 }
 
-// ack is how far a life's ends stand in a batch.
+// ack says up to which number the ends of an incarnation may be acknowledged.
 type ack struct {
-	life Incarnation
-	seq  int64
+	incarnation Incarnation
+	seq         int64
 }
 
-// Empty reports whether there is nothing to store and nothing to follow.
+// Empty reports whether there is nothing to store and nothing to acknowledge.
 func (b *Batch) Empty() bool {
 	return len(b.Records) == 0 && len(b.acks) == 0
 }
 
-// CollectChanges returns up to most records of what has changed, and the ends that may be acknowledged once these
-// are stored: an end that its worker may forget must be stored, with all that its job had come to by then.
+// CollectChanges returns a batch of up to most changed jobs, with the ends that may be acknowledged once it is
+// stored. A worker forgets an end that is acknowledged, so the job's progress including that end must be stored before.
 func (c *Core) CollectChanges(most int) (*Batch, error) {
 	b := &Batch{states: map[string]State{}}
 	for len(b.Records) < most {
@@ -69,7 +68,7 @@
 	return b, nil
 }
 
-// MarkCommitted tells that a batch is stored.
+// MarkCommitted records that a batch is stored.
 func (c *Core) MarkCommitted(b *Batch) {
 	for id, s := range b.states {
 		if j := c.jobs[id]; j != nil {
@@ -77,14 +76,15 @@
 		}
 	}
 	for _, a := range b.acks {
-		// The worker may have started anew while the batch was being stored: its ends count
-		// from 1 again, and acknowledging up to a former number would lose them.
-		if w := c.workers[a.life.ID]; w != nil && w.Incarnation == a.life {
+		// The worker may have restarted while the batch was being stored. Its ends are then numbered
+		// from 1 again; acknowledging up to a number of the former incarnation would lose them.
+		if w := c.workers[a.incarnation.ID]; w != nil && w.Incarnation == a.incarnation {
 			w.ackedSeq = max(w.ackedSeq, a.seq)
 		}
 	}
 }
 
+// encodeProgress returns the progress to store. For a job that has ended, it holds no tasks.
 func (j *job) encodeProgress() ([]byte, error) {
 	p := storedProgress{State: j.state, Queue: j.Queue, EndedAt: j.endedAt, Started: j.started}
 	if !j.state.Final() {
@@ -106,11 +106,12 @@
 	return data, errors.Wrap(err, "sched")
 }
 
+// doneBits returns storedProgress.Done.
 func (j *job) doneBits() [][]string {
 	var all [][]string
-	for _, r := range j.occurrences {
+	for _, o := range j.occurrences {
 		var steps []string
-		for _, s := range r.steps {
+		for _, s := range o.steps {
 			var bits big.Int
 			for i, t := range s.tasks {
 				if t.done {
@@ -124,8 +125,8 @@
 	return all
 }
 
-// RestoreJob takes over a job as the store holds it; data is its progress, empty if there is
-// none yet. A nil spec stands for a job that has ended.
+// RestoreJob adds a job as the store holds it. data is its progress, empty if none is stored yet. spec is nil for a
+// job that has ended.
 func (c *Core) RestoreJob(now time.Time, id string, spec *Job, data []byte) error {
 	p := storedProgress{State: StateQueued}
 	if len(data) > 0 {
@@ -169,12 +170,13 @@
 	return nil
 }
 
-func (r *occurrence) restoreDone(step int, text string) error {
+// restoreDone marks the tasks of a step done that are set in text, a number in hexadecimal.
+func (o *occurrence) restoreDone(step int, text string) error {
 	bits, ok := new(big.Int).SetString(text, 16)
-	if !ok || step >= len(r.steps) {
-		return errors.Errorf("sched: %q for step %d", text, step)
+	if !ok || step >= len(o.steps) {
+		return errors.Errorf("sched: invalid done tasks %q of step %d", text, step)
 	}
-	s := r.steps[step]
+	s := o.steps[step]
 	for i, t := range s.tasks {
 		if bits.Bit(i) == 1 && !t.done {
 			t.done = true
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// Workers returns every worker known, in the order of their ids.
+// Workers returns all known workers, sorted by id.
 func (c *Core) Workers() []Member {
 	var all []Member
 	for _, w := range c.workersByID {
@@ -194,9 +196,9 @@
 	return all
 }
 
-// TrackedWorkers returns every worker that may hold runs, in the order of their ids: what a next
-// holder has to reach. Where all runs have lapsed there is nothing to wait for. Such a worker gets
-// no task, should it come back, until it has been stored again.
+// TrackedWorkers returns the workers that may hold runs, sorted by id. They are stored for the next
+// holder, which has to reach them. A worker without runs whose lease has expired is left out, as there is nothing to
+// wait for. If it comes back, it gets no task until it is stored again.
 func (c *Core) TrackedWorkers() []Member {
 	var all []Member
 	for _, w := range c.workersByID {
@@ -209,7 +211,8 @@
 	return all
 }
 
-// MarkTracked tells that the members stand in the store's record; tasks may be placed there.
+// MarkTracked records that the members are in the stored record of tracked workers. Tasks may be placed on them from
+// then on.
 func (c *Core) MarkTracked(members []Member) {
 	for _, m := range members {
 		if w := c.workers[m.ID]; w != nil && w.Incarnation == m.Incarnation {
--- a/internal/batch/sched/stats.go
+++ b/internal/batch/sched/stats.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Stats is what a holder has and knows, for its logs and metrics.
+// Stats is the state of a holder for its logs and metrics.
 type Stats struct {
-	WorkersInContact int           // workers whose last poll was answered
-	WorkersLost      int           // workers whose last poll wasn't
-	WorkersUnheard   int           // workers that this holder hasn't heard from
-	WithheldTasks    int           // tasks held back because a worker that isn't reached may run them
-	WithheldFor      time.Duration // for which they are held back at most
-	ConfirmationAge  time.Duration // since this process was last confirmed as the holder
-	DirectoryAge     time.Duration // by which the reading of the directory that is held is older than the store's last word to this holder
-	IntentAge        time.Duration // likewise of what operators have written
-	OpenStarts       int           // starts under way
-	StartWindow      int           // starts that may be
-	WaitingSteps     int           // steps with tasks that have found no place
-	LongestWait      time.Duration // since when one of these waits
+	WorkersInContact int           // workers that answered their last poll
+	WorkersLost      int           // workers that didn't answer their last poll
+	WorkersUnheard   int           // workers that this holder hasn't heard from yet
+	WithheldTasks    int           // tasks not started as a worker out of contact may still run them
+	WithheldFor      time.Duration // longest time for which they are still withheld
+	ConfirmationAge  time.Duration // time since this process was last confirmed as the holder
+	DirectoryAge     time.Duration // by how much the directory read in use is older than the store's last confirmation of this holder
+	IntentAge        time.Duration // the same for the read of the operators' intent
+	OpenStarts       int           // starts in flight
+	StartWindow      int           // starts that may be in flight
+	WaitingSteps     int           // unplaced steps: those with a task that found no worker
+	LongestWait      time.Duration // longest time that one of these has been unplaced
 }
 
-// unseenTasks returns how many tasks wait of which this holder has seen no run.
+// unseenTasks returns the number of waiting tasks of which this holder has seen no run.
 func (s *stepInstance) unseenTasks() int {
 	n := 0
 	for _, t := range s.tasks {
@@ -29,7 +29,7 @@
 	return n
 }
 
-// Stats returns the state at a time.
+// Stats returns the state at now.
 func (c *Core) Stats(now time.Time) Stats {
 	s := Stats{ConfirmationAge: c.confirmationAge(now), OpenStarts: len(c.startLimiter.inFlight), StartWindow: c.startLimiter.window}
 	s.DirectoryAge, s.IntentAge = c.readingAges()
--- a/internal/batch/sched/storequeue.go
+++ b/internal/batch/sched/storequeue.go
@@ -1,36 +1,36 @@
 package sched
 
-// storeQueue are the jobs whose progress isn't stored as it is, in the order in which they changed. Those that
-// a caller waits for come first.
+// storeQueue holds the jobs whose changed progress has to be stored, in the order in which they changed. Jobs for
+// whose record a caller waits come first.
 //
-// The failure it guards against: more storeQueue than can be stored. In any fixed order of jobs some are then
+// Jobs may change faster than they can be stored. In any fixed order, such as that of ids, some jobs would then be
 // stored again and again and others never.
 type storeQueue struct {
-	urgent []*job
-	normal []*job
+	urgent []*job // a caller waits for the record
+	normal []*job // the others; a job may be in both
 }
 
-// addNormal notes that a job has changed.
-func (c *storeQueue) addNormal(j *job) {
+// addNormal records that a job has changed.
+func (q *storeQueue) addNormal(j *job) {
 	j.version++
 	if !j.inNormalQueue {
 		j.inNormalQueue = true
-		c.normal = append(c.normal, j)
+		q.normal = append(q.normal, j)
 	}
 }
 
-// addUrgent notes that a job has changed, and that a caller waits for it.
-func (c *storeQueue) addUrgent(j *job) {
+// addUrgent records that a job has changed and that a caller waits until this is stored.
+func (q *storeQueue) addUrgent(j *job) {
 	j.version++
 	if !j.inUrgentQueue {
 		j.inUrgentQueue = true
-		c.urgent = append(c.urgent, j)
+		q.urgent = append(q.urgent, j)
 	}
 }
 
-// next returns the next job to store as it is now, or nil.
-func (c *storeQueue) next() *job {
-	for j := c.pop(); j != nil; j = c.pop() {
+// next removes and returns the next job to store in its present version, or nil.
+func (q *storeQueue) next() *job {
+	for j := q.pop(); j != nil; j = q.pop() {
 		if j.dirty() {
 			j.collectedVersion = j.version
 			return j
@@ -39,43 +39,44 @@
 	return nil
 }
 
-// pop returns the next job in turn; it may have been taken since it was noted.
-func (c *storeQueue) pop() *job {
+// pop removes and returns the first job, or nil. The job may have been collected since it was added.
+func (q *storeQueue) pop() *job {
 	var j *job
 	switch {
-	case len(c.urgent) > 0:
-		j, c.urgent = c.urgent[0], c.urgent[1:]
+	case len(q.urgent) > 0:
+		j, q.urgent = q.urgent[0], q.urgent[1:]
 		j.inUrgentQueue = false
-	case len(c.normal) > 0:
-		j, c.normal = c.normal[0], c.normal[1:]
+	case len(q.normal) > 0:
+		j, q.normal = q.normal[0], q.normal[1:]
 		j.inNormalQueue = false
 	}
 	return j
 }
 
-// dirty reports whether a job has changed since it was last taken to be stored.
+// dirty reports whether a job has changed since it was last collected for the store.
 func (j *job) dirty() bool { return j.collectedVersion < j.version }
 
-// owed is an end that may be acknowledged once a change of its job is stored.
+// pendingAck is the end of a run that may be acknowledged once its job is stored in a version.
 type pendingAck struct {
-	seq     int64
+	seq     int64 // number of the end
 	job     *job
-	version int
+	version int // oldest version of the job that includes the end
 }
 
-// owe notes that an end may not be acknowledged before its job is stored as it is now.
+// holdAck defers the acknowledgement of an end until its job is stored in its present version.
 func (w *worker) holdAck(seq int64, j *job) {
 	if j != nil && j.dirty() {
 		w.pendingAcks = append(w.pendingAcks, pendingAck{seq, j, j.version})
 	}
 }
 
-// ackableSeq returns up to which end a worker's may be acknowledged once what has been taken is stored.
+// ackableSeq returns the highest number up to which the worker's ends may be acknowledged once all collected records
+// are stored.
 func (w *worker) ackableSeq() int64 {
 	for len(w.pendingAcks) > 0 {
-		o := w.pendingAcks[0]
-		if o.job.collectedVersion < o.version {
-			return o.seq - 1
+		first := w.pendingAcks[0]
+		if first.job.collectedVersion < first.version {
+			return first.seq - 1
 		}
 		w.pendingAcks = w.pendingAcks[1:]
 	}
