--- a/internal/batch/sched/backoff_test.go
+++ b/internal/batch/sched/backoff_test.go
@@ -10,56 +10,56 @@
 // answerTimeout is how long an order may wait for its answer.
 const answerTimeout = 600 * time.Millisecond
 
-// planUnanswered plays workers that answer no order, for some time. It returns when each order of a kind was planned, and the
-// most that were under way at a time.
+// planUnanswered plans for some time with workers that answer no order. It returns when each order of a verb was
+// planned, and the most of them that were in flight at a time.
 func (b *harness) planUnanswered(v sched.Verb, span time.Duration) (at []time.Duration, most int) {
-	type open struct {
-		order sched.Order
-		until time.Time
+	type sentOrder struct {
+		order   sched.Order
+		timeout time.Time // when the holder gives up waiting for the answer
 	}
-	var under []open
+	var inFlight []sentOrder
 	began := b.now
 	for b.now.Sub(began) < span {
 		b.advance(20 * time.Millisecond)
-		for len(under) > 0 && !b.now.Before(under[0].until) {
-			b.core.HandleOutcome(b.now, under[0].order, sched.OutcomeUnknown)
-			under = under[1:]
+		for len(inFlight) > 0 && !b.now.Before(inFlight[0].timeout) {
+			b.core.HandleOutcome(b.now, inFlight[0].order, sched.OutcomeUnknown)
+			inFlight = inFlight[1:]
 		}
 		for _, o := range b.core.Plan(b.now) {
 			if o.Verb == v {
 				at = append(at, b.now.Sub(began))
-				under = append(under, open{o, b.now.Add(answerTimeout)})
+				inFlight = append(inFlight, sentOrder{o, b.now.Add(answerTimeout)})
 			}
 		}
-		most = max(most, len(under))
+		most = max(most, len(inFlight))
 	}
-	for _, o := range under {
+	for _, o := range inFlight {
 		b.core.HandleOutcome(b.now, o.order, sched.OutcomeUnknown)
 	}
 	return at, most
 }
 
-// checkSpacing checks that orders come one at a time, ever more seldom and never more than limit apart.
+// checkSpacing checks that a run's orders are sent one at a time, with growing pauses of at most limit.
 func checkSpacing(t *testing.T, at []time.Duration, most int, limit time.Duration) {
 	t.Helper()
 	if most != 1 {
-		t.Errorf("%d of one run's orders under way together, want 1", most)
+		t.Errorf("%d orders to one run in flight at a time, want 1", most)
 	}
 	if len(at) < 4 {
-		t.Fatalf("sent at %v, want it sent again", at)
+		t.Fatalf("sent at %v, want at least 4 orders", at)
 	}
 	for i := 2; i < len(at); i++ {
 		if d, former := at[i]-at[i-1], at[i-1]-at[i-2]; d < former || d > limit {
-			t.Errorf("sent at %v: after a pause of %v one of %v", at, former, d)
+			t.Errorf("sent at %v: after a pause of %v one of %v, want it no shorter and within the limit", at, former, d)
 		}
 	}
 	if n := len(at); at[2]-at[1] >= at[n-1]-at[n-2] {
-		t.Errorf("sent at %v, want longer pauses", at)
+		t.Errorf("sent at %v, want growing pauses", at)
 	}
 }
 
-// Feeds stand still after a change of holder. The workers are busy and leave orders unanswered; the
-// holder sends each stop anew before it has given up the former one, on one more connection, until workers refuse
+// Stops must not pile up on busy workers, as after a change of holder. If the holder repeats each
+// stop that got no answer before the former one has timed out, each one takes another connection, until workers refuse
 // connections and even polls fail.
 func TestStopsDontPileUp(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
@@ -71,7 +71,7 @@
 	checkSpacing(t, at, most, 3*time.Second)
 	b.advance(3 * time.Second)
 	if got := b.planOrders(sched.VerbStop); len(got) != 1 || got[0].Run != o.Run {
-		t.Errorf("stops %v once the worker answers, want one", got)
+		t.Errorf("stops %v once the worker answers, want one for the cancelled run", got)
 	}
 	b.advance(3 * time.Second)
 	if got := b.planOrders(sched.VerbStop); len(got) != 0 {
@@ -79,19 +79,19 @@
 	}
 }
 
-// The same with paces, of which a feed beside filling tasks needs many.
+// The same holds for throttles, of which best-effort tasks beside a latency-critical one need many.
 func TestPacesDontPileUp(t *testing.T) {
-	b, serve, fill := newColocated(t)
-	b.reportMeasurements(serve, fill, 4*time.Millisecond, 3000)
+	b, latencyCritical, bestEffort := newColocated(t)
+	b.reportMeasurements(latencyCritical, bestEffort, 4*time.Millisecond, 3000)
 	for range 6 {
-		b.reportMeasurements(serve, fill, 90*time.Millisecond, 3000)
+		b.reportMeasurements(latencyCritical, bestEffort, 90*time.Millisecond, 3000)
 	}
 	at, most := b.planUnanswered(sched.VerbThrottle, 20*time.Second)
 	checkSpacing(t, at, most, 3*time.Second)
 }
 
-// A cancelled job runs on. Its worker has started anew while a stop was under way, whose answer names the
-// former life: the next stop must not wait for that one for good.
+// A cancelled job must be stopped although its worker restarts. If the worker restarts while a stop is in flight, the
+// answer refers to the former incarnation. The next stop must not wait for that answer for good, or the task keeps running.
 func TestStopOfFormerIncarnation(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
@@ -107,6 +107,6 @@
 	b.core.HandleOutcome(b.now, stops[0], sched.OutcomeOtherIncarnation)
 	b.advance(time.Second)
 	if got := b.planOrders(sched.VerbStop); len(got) != 1 {
-		t.Errorf("stops %v in the new life, want one", got)
+		t.Errorf("stops %v in the new incarnation, want one", got)
 	}
 }
--- a/internal/batch/sched/bench_test.go
+++ b/internal/batch/sched/bench_test.go
@@ -9,35 +9,37 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// planBench plays a holder's work on workers full of serving and filling tasks: reports come in, tasks
-// end, and as many new jobs come as have ended.
+// planBench drives a core whose workers are full of latency-critical and best-effort tasks. Workers report, tasks
+// end, and as many new jobs are submitted as have ended.
 type planBench struct {
 	core          *sched.Core
 	now           time.Time
-	ids           []string
-	reports       map[string]*sched.Report
-	lastSeq       map[string]int64
-	nextWorker    int // of the worker that is heard next
-	submitted     int
-	starts        int
-	starvedStarts int  // of these, of starved jobs
-	unreplaced    int  // tasks that ended and were not replaced by a new job yet
-	lateJobs      bool // filling jobs come too late to be worth anything
+	ids           []string                 // of the workers
+	reports       map[string]*sched.Report // next report, by worker
+	lastSeq       map[string]int64         // number of the newest end, by worker
+	nextWorker    int                      // index in ids of the worker that reports next
+	submitted     int                      // best-effort jobs submitted
+	starts        int                      // starts planned
+	starvedStarts int                      // of these, starts of starved jobs
+	unreplaced    int                      // tasks that ended and were not replaced by a new job yet
+	lateJobs      bool                     // best-effort jobs are submitted when they are already too late to be useful
 }
 
-// Load of the benchmark, for each worker.
+// Load of the benchmark.
 const (
-	servingPerWorker    = 0.8 // serving jobs
-	bestEffortPerWorker = 6   // filling jobs at the start, of which most wait
-	workersPerPlan      = 48  // one worker in so many is heard between two plans
+	servingPerWorker    = 0.8 // latency-critical jobs for each worker
+	bestEffortPerWorker = 6   // best-effort jobs for each worker at the start; most of them wait
+	workersPerPlan      = 48  // one worker in so many reports between two plans
 )
 
-// Tails of serving tasks without much load, and with so much that few filling tasks find a place beside them.
+// Tail latencies of latency-critical tasks under low load, and under so much that few best-effort tasks can be
+// placed beside them.
 const (
 	lowLoadTail  = 12 * time.Millisecond
 	highLoadTail = 18 * time.Millisecond
 )
 
+// newPlanBench returns a planBench after 300 steps of warm-up.
 func newPlanBench(workers int, late bool) *planBench {
 	p := &planBench{
 		lateJobs: late,
@@ -64,6 +66,7 @@
 	return p
 }
 
+// submitJob submits a best-effort job.
 func (p *planBench) submitJob() {
 	j := bestEffortJob(fmt.Sprintf("f%d", p.submitted), fmt.Sprintf("f%d", p.submitted%9), 1000+50*(p.submitted%30))
 	if p.lateJobs {
@@ -73,7 +76,7 @@
 	p.submitted++
 }
 
-// hearWorker has a worker report, as on a busy day every half second or so.
+// hearWorker lets a worker report. Busy workers do so about every half second.
 func (p *planBench) hearWorker(id string) {
 	r := p.reports[id]
 	r.Clock = p.now.Sub(epoch())
@@ -83,7 +86,7 @@
 	p.core.NextPoll(p.now, id)
 }
 
-// endTask has the oldest filling task of a worker endTask.
+// endTask ends the oldest best-effort task of a worker.
 func (p *planBench) endTask(id string) {
 	r := p.reports[id]
 	r.Finished = nil
@@ -99,7 +102,7 @@
 	}
 }
 
-// playEvents are what a holder hears between two plans.
+// playEvents plays the reports and submissions between two plans.
 func (p *planBench) playEvents() {
 	p.now = p.now.Add(10 * time.Millisecond)
 	for range max(1, len(p.ids)/workersPerPlan) {
@@ -113,6 +116,7 @@
 	}
 }
 
+// planOrders plans and lets the workers carry out all orders.
 func (p *planBench) planOrders() {
 	for _, o := range p.core.Plan(p.now) {
 		p.core.HandleOutcome(p.now, o, sched.OutcomeDone)
@@ -134,21 +138,22 @@
 	}
 }
 
+// step plays the events between two plans and one plan.
 func (p *planBench) step() {
 	p.playEvents()
 	p.planOrders()
 }
 
-// BenchmarkPlan plans with workers full of serving and filling tasks and with jobs that wait, with reports,
-// ends and new jobs between two plans in proportion to the workers.
+// BenchmarkPlan measures a plan with workers full of latency-critical and best-effort tasks and with jobs that wait.
+// Reports, ends and new jobs between two plans are in proportion to the number of workers.
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{48, 350, 3000, 28000} {
 		b.Run(fmt.Sprintf("%dworkers", workers), func(b *testing.B) { benchmarkPlan(b, workers, false) })
 	}
 }
 
-// BenchmarkPlanStarved plans as BenchmarkPlan does with serving tasks near their targets and filling jobs that are all late, of
-// which hundreds are starved.
+// BenchmarkPlanStarved is BenchmarkPlan with latency-critical tasks near their latency targets and best-effort jobs that
+// are all late, of which hundreds are starved.
 func BenchmarkPlanStarved(b *testing.B) {
 	for _, workers := range []int{48, 350} {
 		b.Run(fmt.Sprintf("%dworkers", workers), func(b *testing.B) { benchmarkPlan(b, workers, true) })
@@ -172,26 +177,28 @@
 	b.ReportMetric(float64(p.starvedStarts)/float64(b.N), "starved/plan")
 }
 
+// servingJob returns a latency-critical job of six tasks.
 func servingJob(id, image string) *sched.Job {
 	return &sched.Job{ID: id, Queue: "serve", Service: "s", MaxAttempts: 2, AcceptedAt: epoch(), Steps: []sched.Step{{
 		Count: 6, Size: wire.Size{CPU: 2800, Mem: 6400}, LongRunning: true, Image: image, TailTarget: 24 * time.Millisecond,
 	}}}
 }
 
+// bestEffortJob returns a best-effort job of eight tasks.
 func bestEffortJob(id, image string, cpu int) *sched.Job {
 	return &sched.Job{ID: id, Queue: "fill", Service: "s", MaxAttempts: 2, AcceptedAt: epoch(), Priority: 2, DeadlineBase: time.Second, StretchFactor: 2,
 		Steps: []sched.Step{{Count: 8, Size: wire.Size{CPU: cpu, Mem: 3200}, BestEffort: true, Image: image, Estimate: 2 * time.Second}}}
 }
 
-// BenchmarkInherit takes over workers that a former holder may have given work to: 3,000 took 1,470 ms when each
-// had all of them sorted anew, and take 6 ms.
+// BenchmarkInherit measures taking over the workers that a former holder tracked. 3,000 workers take 6 ms; sorting all
+// workers again for each one took 1,470 ms.
 func BenchmarkInherit(b *testing.B) {
 	for _, n := range []int{350, 3000} {
-		crew := members(n)
+		tracked := members(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				core := sched.New(sched.Options{WorkerLease: lease, MaxUnconfirmed: time.Hour, Term: 1}, epoch())
-				core.InheritWorkers(epoch(), crew)
+				core.InheritWorkers(epoch(), tracked)
 			}
 		})
 	}
--- a/internal/batch/sched/core_test.go
+++ b/internal/batch/sched/core_test.go
@@ -9,7 +9,7 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// harness plays a core against workers that the test speaks for.
+// harness drives a core and plays its workers.
 type harness struct {
 	t    *testing.T
 	core *sched.Core
@@ -17,17 +17,19 @@
 }
 
 const (
+	// lease is the lease of workers.
 	lease = 5 * time.Second
 	// maxUnconfirmed is how long a holder acts without a confirmation.
 	maxUnconfirmed = 3 * time.Second
-	// formerLeasesEnd is how long after a change of holder all that the former one has granted has ended: a lease by
-	// a clock that is 2 % slow, and what a worker takes to notice.
+	// formerLeasesEnd is how long after a change of holder all leases of the former holder have expired: a lease by
+	// a clock that is 2 % slow, and the time that a worker takes to notice the expiry.
 	formerLeasesEnd = lease*100/98 + 100*time.Millisecond
 )
 
+// epoch returns the time at which the tests begin.
 func epoch() time.Time { return time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC) }
 
-// newHarness returns a core of a term with n workers of 16 cores that have been polled.
+// newHarness returns the harness of a holder's term with n workers of 16 cores that haven't been polled yet.
 func newHarness(t *testing.T, term int64, n int) *harness {
 	t.Helper()
 	b := &harness{t: t, now: epoch()}
@@ -36,6 +38,7 @@
 	return b
 }
 
+// members returns n workers, each with its id as its only label.
 func members(n int) []sched.Member {
 	var all []sched.Member
 	for i := range n {
@@ -47,7 +50,7 @@
 	return all
 }
 
-// openWorkers polls every worker twice, so that tasks may be placed there.
+// openWorkers marks all workers as tracked and polls them, so that tasks may be placed on them.
 func (b *harness) openWorkers() *harness {
 	b.core.MarkTracked(b.core.TrackedWorkers())
 	for _, m := range b.core.TrackedWorkers() {
@@ -56,13 +59,13 @@
 	return b
 }
 
-// advance lets time pass, in which the holder stays confirmed.
+// advance lets time pass, after which the store confirms the holder again.
 func (b *harness) advance(d time.Duration) {
 	b.now = b.now.Add(d)
 	b.core.ConfirmHolder(b.now)
 }
 
-// poll has a worker answer a poll of once, and the next one sent.
+// poll lets a worker answer a poll with a report, and sends the next poll.
 func (b *harness) poll(id string, rep sched.Report) {
 	b.t.Helper()
 	b.core.NextPoll(b.now, id)
@@ -76,7 +79,7 @@
 	b.core.NextPoll(b.now, id)
 }
 
-// planOrders returns the orders of a kind, each taken by its worker.
+// planOrders plans, lets the workers carry out all orders, and returns those of one verb.
 func (b *harness) planOrders(v sched.Verb) []sched.Order {
 	b.t.Helper()
 	b.advance(time.Millisecond)
@@ -91,7 +94,7 @@
 	return got
 }
 
-// storeChanges has everything stored and returns the records by job.
+// storeChanges stores all changes and returns the records by job.
 func (b *harness) storeChanges() map[string][]byte {
 	b.t.Helper()
 	batch, err := b.core.CollectChanges(1000)
@@ -106,6 +109,7 @@
 	return all
 }
 
+// oneTaskJob returns a job with one step of one task, altered by change if that isn't nil.
 func oneTaskJob(id string, change func(*sched.Job)) *sched.Job {
 	j := &sched.Job{ID: id, Queue: "q", Service: "s", MaxAttempts: 2, AcceptedAt: epoch(),
 		Steps: []sched.Step{{Count: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: time.Second}}}
@@ -115,6 +119,7 @@
 	return j
 }
 
+// checkState checks the state of a job as callers see it.
 func (b *harness) checkState(id string, want sched.State) {
 	b.t.Helper()
 	if got, _ := b.core.JobState(id); got != want {
@@ -122,20 +127,22 @@
 	}
 }
 
-// otherWorker returns, of two workers, the one that an order isn't for.
+// otherWorker returns the id of w0 or w1, whichever an order isn't for.
 func otherWorker(o sched.Order) string {
 	return map[string]string{"w0": "w1", "w1": "w0"}[o.Incarnation.ID]
 }
 
+// finishedRow returns the end of an order's run as its worker reports it.
 func finishedRow(seq int64, o sched.Order, how sched.End) sched.FinishedRun {
 	return sched.FinishedRun{Seq: seq, Task: o.Task.String(), Run: o.Run, End: how}
 }
 
+// runningRow returns an order's run as its worker reports it while it runs.
 func runningRow(o sched.Order) sched.RunStatus {
 	return sched.RunStatus{Task: o.Task.String(), Run: o.Run}
 }
 
-// A job's steps run one after the other, and it is shown as completed only once that is stored.
+// Steps that depend on each other run one after the other, and a job is shown as completed only once that is stored.
 func TestSteps(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) {
@@ -160,9 +167,9 @@
 	b.checkState("j", sched.StateCompleted)
 }
 
-// A caller sees a task run twice at the same time. A start is answered, and a poll sent before
-// that answer has overtaken the start on another connection, so its report doesn't show the
-// run. Taking the run for ended places the task a second time.
+// A task must not run twice at the same time. A poll that is sent before a start is answered may overtake the start on
+// another connection. Its report then doesn't show the run although the start was answered. If the
+// run is taken for ended, the task is placed a second time.
 func TestPollOvertakesStart(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
@@ -178,13 +185,13 @@
 	b.advance(time.Millisecond)
 	b.core.HandleReport(sent, b.now, "w0", sched.Report{StartedAt: 1, Clock: b.now.Sub(epoch())})
 	if again := b.planOrders(sched.VerbStart); len(again) != 0 {
-		t.Errorf("started again: %v", again)
+		t.Errorf("started the task again: %v", again)
 	}
 }
 
-// A caller is told that a job has failed though its task failed once only. The holder has
-// stored the failure and ends before the worker is told to forget it; its successor hears
-// of the same end and counts it a second time.
+// A failed run must be counted once. If the holder stores the failure and ends before it acknowledges it
+// to the worker, the worker reports the same end to the next holder. Counted a second time, it makes a job fail
+// whose task failed only once.
 func TestFailureCountedOnce(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	job := oneTaskJob("j", nil)
@@ -202,20 +209,20 @@
 	next.poll("w0", sched.Report{Finished: []sched.FinishedRun{end}})
 	next.storeChanges()
 	if s, _ := next.core.JobState("j"); s.Final() {
-		t.Errorf("job is %s after one failure of two allowed", s)
+		t.Errorf("job is %s after 1 failed run, want it to fail after 2", s)
 	}
 	retry := next.planOrders(sched.VerbStart)
 	if len(retry) != 1 || retry[0].Run <= o.Run {
-		t.Fatalf("retry %v after run %d", retry, o.Run)
+		t.Fatalf("retry %v after run %d, want one start with a higher run number", retry, o.Run)
 	}
 	next.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRow(2, retry[0], sched.EndFailed)}})
 	next.storeChanges()
 	next.checkState("j", sched.StateFailed)
 }
 
-// An insurer's job runs once more than its queue allows. Its task fails on two workers
-// while the store turns the holder away; the successor hears the newer end first and takes
-// the older one for counted.
+// A job must not run more often than its queue allows. A task fails on two workers while the holder can't store anything.
+// If the next holder hears of the newer failure first and takes the older one for counted, the task is started
+// once more.
 func TestFailuresInAnyOrder(t *testing.T) {
 	b := newHarness(t, 2, 2)
 	if err := b.core.RestoreJob(b.now, "j", oneTaskJob("j", nil), nil); err != nil {
@@ -225,13 +232,13 @@
 	b.poll("w0", sched.Report{Finished: []sched.FinishedRun{{Seq: 1, Task: "j.0.0.0", Run: 1_000_002, End: sched.EndFailed}}})
 	b.poll("w1", sched.Report{Finished: []sched.FinishedRun{{Seq: 1, Task: "j.0.0.0", Run: 1_000_001, End: sched.EndFailed}}})
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Errorf("started %v after two failures", got)
+		t.Errorf("started %v after two failed runs, want none", got)
 	}
 	b.storeChanges()
 	b.checkState("j", sched.StateFailed)
 }
 
-// A start isn't answered and may come to life seconds later. Until a stop for it is
+// The run of a start that got no answer may begin seconds later. Until a stop for it is
 // acknowledged and a later poll doesn't show it, the task must not be placed again.
 func TestUnansweredStart(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
@@ -241,7 +248,7 @@
 	b.advance(time.Millisecond)
 	b.poll(o.Incarnation.ID, sched.Report{})
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Fatalf("placed again before the stop: %v", got)
+		t.Fatalf("started %v before the stop, want none", got)
 	}
 	b.advance(time.Second)
 	if got := b.planOrders(sched.VerbStop); len(got) != 1 {
@@ -249,12 +256,12 @@
 	}
 	b.poll(o.Incarnation.ID, sched.Report{})
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 || got[0].Run <= o.Run {
-		t.Fatalf("after the stop: %v", got)
+		t.Fatalf("started %v after the stop, want one start with a higher run number", got)
 	}
 }
 
-// A cancelled job starts nothing and what runs of it is stopped; an order on its way then is
-// stopped too.
+// After a cancel, no task of the job is started and all its runs are stopped, also those whose start is still in
+// flight.
 func TestCancel(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) { j.Steps[0].Count = 3 }))
@@ -265,24 +272,24 @@
 		t.Errorf("%d stops, want %d", len(got), len(starts))
 	}
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Errorf("started %v after the cancel", got)
+		t.Errorf("started %v after the cancel, want none", got)
 	}
 	b.storeChanges()
 	b.checkState("j", sched.StateCancelled)
 }
 
-// Tasks go nowhere where operators or the worker said no.
+// No task is started on a worker that operators or the worker itself have closed for new tasks.
 func TestNoStartOnClosedWorker(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		close func(b *harness, all []sched.Member)
 	}{
-		{"domain out", func(b *harness, _ []sched.Member) { b.core.SetEvacuatedZones(map[string]bool{"z": true}) }},
+		{"zone evacuated", func(b *harness, _ []sched.Member) { b.core.SetEvacuatedZones(map[string]bool{"z": true}) }},
 		{"draining", func(b *harness, all []sched.Member) {
 			all[0].Draining = true
 			b.core.UpdateDirectory(b.now, all)
 		}},
-		{"not listed", func(b *harness, _ []sched.Member) { b.core.UpdateDirectory(b.now, nil) }},
+		{"not in the directory", func(b *harness, _ []sched.Member) { b.core.UpdateDirectory(b.now, nil) }},
 		{"other service", func(b *harness, all []sched.Member) {
 			all[0].Service = "other"
 			b.core.UpdateDirectory(b.now, all)
@@ -294,14 +301,15 @@
 			tt.close(b, members(1))
 			b.core.AddJob(b.now, oneTaskJob("j", nil))
 			if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-				t.Errorf("started %v", got)
+				t.Errorf("started %v, want none", got)
 			}
 		})
 	}
 }
 
-// Two books wait for the only place. The one that is due first has two steps of 2 s to go and 3 s
-// left: begun first, it would be late all the same and bring the other past its time too.
+// A job that can't be on time any more must not make another one late. Two jobs wait for the only place. The one with the
+// earlier deadline still needs two steps of 2 s and has 3 s left. Placed first, it would be late anyway, and the other
+// would be late too.
 func TestLateJobWaits(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	steps := func(n int) func(*sched.Job) {
@@ -316,11 +324,11 @@
 			}
 		}
 	}
-	b.core.AddJob(b.now, oneTaskJob("hopeless", steps(2)))
+	b.core.AddJob(b.now, oneTaskJob("late", steps(2)))
 	b.advance(500 * time.Millisecond)
-	b.core.AddJob(b.now, oneTaskJob("timely", func(j *sched.Job) { steps(1)(j); j.AcceptedAt = b.now }))
+	b.core.AddJob(b.now, oneTaskJob("on-time", func(j *sched.Job) { steps(1)(j); j.AcceptedAt = b.now }))
 	got := b.planOrders(sched.VerbStart)
-	if len(got) != 1 || got[0].Task.Job != "timely" {
+	if len(got) != 1 || got[0].Task.Job != "on-time" {
 		t.Errorf("started %v, want the job that can be on time", got)
 	}
 }
--- a/internal/batch/sched/outcome.go
+++ b/internal/batch/sched/outcome.go
@@ -21,7 +21,7 @@
 	}
 	r := w.runs[runKey{o.Task, o.Run}]
 	if r != nil {
-		// This holds for an order to a former incarnation too: the run may stay in the ledger and get further orders.
+		// Also for an order to a former incarnation: the run may stay in the ledger and get further orders.
 		r.settleOrder(now, o.Verb, out)
 		if o.Verb == VerbStart {
 			c.startLimiter.recordAnswer(now, now.Sub(r.orderedAt), out)
--- a/internal/batch/sched/simulation_test.go
+++ b/internal/batch/sched/simulation_test.go
@@ -9,18 +9,20 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// simulation plays workers that answer, refuse, lose answers, fall silent and start anew, at random.
+// simulation drives a core at random and plays its workers. They carry out or refuse orders, lose answers, stop
+// answering polls and restart.
 type simulation struct {
 	rand          *rand.Rand
 	core          *Core
 	now           time.Time
-	members       []Member
-	running       map[string][]RunStatus
-	ended         map[string][]FinishedRun
-	jobs          int
-	starvedStarts int // starts of starved jobs
+	members       []Member                 // the workers
+	running       map[string][]RunStatus   // runs, by worker
+	ended         map[string][]FinishedRun // ends since the worker's last restart, by worker
+	jobs          int                      // jobs submitted
+	starvedStarts int                      // starts of starved jobs
 }
 
+// newSimulation returns a simulation with four workers.
 func newSimulation(seed uint64) *simulation {
 	l := &simulation{
 		rand: rand.New(rand.NewPCG(seed, 1)), now: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC),
@@ -35,6 +37,7 @@
 	return l
 }
 
+// submitJob adds a job with random steps.
 func (l *simulation) submitJob() {
 	j := &Job{ID: fmt.Sprintf("j%d", l.jobs), Queue: "q", Service: "s", MaxAttempts: 3, AcceptedAt: l.now, StretchFactor: 2}
 	l.jobs++
@@ -57,6 +60,7 @@
 	l.core.AddJob(l.now, j)
 }
 
+// planOrders plans and gives each order a random outcome.
 func (l *simulation) planOrders() {
 	for _, o := range l.core.Plan(l.now) {
 		if o.Starved {
@@ -78,7 +82,7 @@
 	}
 }
 
-// endRun has a task's run endRun, or, without a name, any.
+// endRun ends the run of a task on a worker, or a random run if task is empty.
 func (l *simulation) endRun(id, task string, how End) {
 	for i, r := range l.running[id] {
 		if task != "" && r.Task != task || task == "" && l.rand.IntN(2) == 0 {
@@ -90,6 +94,7 @@
 	}
 }
 
+// pollWorker lets the i-th worker answer a poll, and sends the next one.
 func (l *simulation) pollWorker(i int) {
 	m := l.members[i]
 	sent := l.now.Add(-time.Duration(l.rand.IntN(5)) * time.Millisecond)
@@ -103,6 +108,7 @@
 	l.core.NextPoll(l.now, m.ID)
 }
 
+// step lets up to 100 ms pass and plays one random event.
 func (l *simulation) step() {
 	l.now = l.now.Add(time.Duration(l.rand.IntN(100)) * time.Millisecond)
 	l.core.ConfirmHolder(l.now)
@@ -130,11 +136,11 @@
 		}
 	case 6:
 		if l.rand.IntN(8) == 0 {
-			l.now = l.now.Add(7 * time.Second) // leases lapse
+			l.now = l.now.Add(7 * time.Second) // all leases expire
 			l.core.ConfirmHolder(l.now)
 		}
 	case 7:
-		// A run that this holder doesn't know of.
+		// The worker has a run that this holder doesn't know of.
 		l.running[m.ID] = append(l.running[m.ID], RunStatus{Task: fmt.Sprintf("j%d.0.%d.0", l.rand.IntN(l.jobs+1), l.rand.IntN(3)), Run: 500000 + int64(l.rand.IntN(1000))})
 	case 8, 9, 10, 11, 12, 13:
 		l.endRun(m.ID, "", []End{EndDone, EndDone, EndDone, EndFailed, EndLeaseExpired}[l.rand.IntN(5)])
@@ -151,72 +157,74 @@
 	}
 }
 
-// checkCounts compares what is counted with the runs that are there.
+// checkCounts compares all counters of the core with the runs and tasks that exist.
 func (l *simulation) checkCounts() error {
-	live := map[*job]int{}
+	active := map[*job]int{}
 	starved := 0
 	for _, w := range l.core.workers {
 		if len(w.runList) != len(w.runs) {
 			return fmt.Errorf("worker %s lists %d runs of %d", w.ID, len(w.runList), len(w.runs))
 		}
-		var used wire.Size
-		mem, fill, base := 0, 0, 0
+		var allocated wire.Size
+		bestEffortMem, bestEffortCPU, longRunningCPU := 0, 0, 0
 		for _, r := range w.runList {
 			if r.task == nil {
 				continue
 			}
-			live[r.task.step.job]++
+			active[r.task.step.job]++
 			if r.starved {
 				starved++
 			}
 			switch s := r.task.step.spec; {
 			case s.BestEffort:
-				mem, fill = mem+s.Size.Mem, fill+s.Size.CPU
+				bestEffortMem, bestEffortCPU = bestEffortMem+s.Size.Mem, bestEffortCPU+s.Size.CPU
 			default:
-				used.CPU, used.Mem = used.CPU+s.Size.CPU, used.Mem+s.Size.Mem
+				allocated.CPU, allocated.Mem = allocated.CPU+s.Size.CPU, allocated.Mem+s.Size.Mem
 				if s.LongRunning {
-					base += s.Size.CPU
+					longRunningCPU += s.Size.CPU
 				}
 			}
 		}
-		if used != w.allocated || mem != w.bestEffortMem || fill != w.bestEffortCPU || base != w.longRunning.CPU {
-			return fmt.Errorf("worker %s counts %v %d %d %d, has %v %d %d %d", w.ID, w.allocated, w.bestEffortMem, w.bestEffortCPU, w.longRunning.CPU, used, mem, fill, base)
+		if allocated != w.allocated || bestEffortMem != w.bestEffortMem || bestEffortCPU != w.bestEffortCPU || longRunningCPU != w.longRunning.CPU {
+			return fmt.Errorf("worker %s counts %v allocated, %d MiB and %d millicores best-effort, %d millicores long-running; its runs have %v, %d, %d, %d",
+				w.ID, w.allocated, w.bestEffortMem, w.bestEffortCPU, w.longRunning.CPU, allocated, bestEffortMem, bestEffortCPU, longRunningCPU)
 		}
 	}
 	if l.core.starvedRuns != starved {
-		return fmt.Errorf("%d runs of starved jobs are counted, %d are there", l.core.starvedRuns, starved)
+		return fmt.Errorf("%d runs of starved jobs are counted, %d exist", l.core.starvedRuns, starved)
 	}
 	for id, j := range l.core.jobs {
-		if j.activeRuns != live[j] {
-			return fmt.Errorf("job %s counts %d runs, has %d", id, j.activeRuns, live[j])
+		if j.activeRuns != active[j] {
+			return fmt.Errorf("job %s counts %d runs, has %d", id, j.activeRuns, active[j])
 		}
-		delete(live, j)
-		for _, r := range j.occurrences {
-			for _, s := range r.steps {
-				waiting, left := 0, 0
+		delete(active, j)
+		for _, o := range j.occurrences {
+			for _, s := range o.steps {
+				pending, unfinished := 0, 0
 				for _, t := range s.tasks {
 					if !t.done {
-						left++
+						unfinished++
 						if t.run == nil {
-							waiting++
+							pending++
 						}
 					}
 				}
-				if s.pending != waiting || s.unfinished != left {
-					return fmt.Errorf("step %d of %s counts %d of %d waiting, has %d of %d", s.index, id, s.pending, s.unfinished, waiting, left)
+				if s.pending != pending || s.unfinished != unfinished {
+					return fmt.Errorf("step %d of %s counts %d pending of %d unfinished tasks, has %d of %d", s.index, id, s.pending, s.unfinished, pending, unfinished)
 				}
 			}
 		}
 	}
-	for j, n := range live {
+	for j, n := range active {
 		if n > 0 {
-			return fmt.Errorf("job %s was forgotten with %d runs", j.ID, n)
+			return fmt.Errorf("job %s was forgotten while it had %d runs", j.ID, n)
 		}
 	}
 	return nil
 }
 
-// A job whose runs are miscounted is never taken for starved, or never forgotten.
+// A job whose runs are miscounted is never taken for starved, or is never forgotten. The counters must match the runs
+// after any sequence of events.
 func TestRunCounters(t *testing.T) {
 	starved := 0
 	for seed := range uint64(8) {
--- a/internal/batch/sched/storequeue_test.go
+++ b/internal/batch/sched/storequeue_test.go
@@ -9,40 +9,40 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// A shop asks how many jobs wait. Starts were ordered and never left, or weren't taken: the jobs counted as begun for good,
-// and a queue full of work looked empty. A job has begun once a worker has one of its tasks.
+// A job counts as started once a worker has started one of its tasks. If jobs whose start was never sent or was refused
+// count as started for good, a queue full of waiting jobs looks empty to callers.
 func TestPendingUntilTaken(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		out     sched.Outcome
-		shown   bool
-		pending int
+		name     string
+		out      sched.Outcome
+		reported bool // the next report shows the run
+		pending  int  // jobs that have not started
 	}{
-		{"never left", sched.OutcomeUnsent, false, 1},
-		{"no room", sched.OutcomeNoResources, false, 1},
+		{"never sent", sched.OutcomeUnsent, false, 1},
+		{"no resources", sched.OutcomeNoResources, false, 1},
 		{"no answer", sched.OutcomeUnknown, false, 1},
-		{"no answer, and shown", sched.OutcomeUnknown, true, 0},
-		{"taken", sched.OutcomeDone, false, 0},
-		{"ended there before", sched.OutcomeRunEnded, false, 0},
+		{"no answer, run reported", sched.OutcomeUnknown, true, 0},
+		{"started", sched.OutcomeDone, false, 0},
+		{"run ended before", sched.OutcomeRunEnded, false, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newHarness(t, 1, 1).openWorkers()
 			b.core.AddJob(b.now, oneTaskJob("j", nil))
 			o := b.core.Plan(b.now)[0]
 			b.core.HandleOutcome(b.now, o, tt.out)
-			if tt.shown {
+			if tt.reported {
 				b.poll("w0", sched.Report{Running: []sched.RunStatus{runningRow(o)}})
 			}
 			if got := b.core.PendingJobs("q"); got != tt.pending {
-				t.Errorf("%d wait, want %d", got, tt.pending)
+				t.Errorf("%d pending jobs, want %d", got, tt.pending)
 			}
 		})
 	}
 }
 
-// More jobs change than one write takes, again and again. The ends of a worker were acknowledged
-// only once nothing at all was left to store: for as long as that lasted every poll told
-// all ends anew, and the holder had no time left for its work. An end is acknowledged as soon as its own job is stored.
+// An end is acknowledged as soon as its own job is stored. If ends are acknowledged only once nothing at all
+// is left to store, and more jobs keep changing than one write takes, every poll reports all ends again and the
+// holder has no time left for its work.
 func TestAcksDontWaitForAll(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("a", func(j *sched.Job) { j.Steps[0].RequiredLabel = "w0" }))
@@ -64,18 +64,18 @@
 			t.Fatal(err)
 		}
 		if l, _ := b.core.NextPoll(b.now, "w1"); i == 0 && l.AckedSeq != 0 {
-			t.Errorf("ends of w1 up to %d are acknowledged, and none is stored", l.AckedSeq)
+			t.Errorf("ends of w1 are acknowledged up to %d before any is stored", l.AckedSeq)
 		}
 		b.core.MarkCommitted(batch)
 		id := fmt.Sprintf("w%d", i)
 		if l, _ := b.core.NextPoll(b.now, id); l.AckedSeq != want {
-			t.Errorf("ends of %s up to %d are acknowledged, want %d", id, l.AckedSeq, want)
+			t.Errorf("ends of %s are acknowledged up to %d, want %d", id, l.AckedSeq, want)
 		}
 	}
 }
 
-// A worker tells an end with each poll until it is acknowledged. It is news once: logged and counted each time, it
-// buries in the log what an engineer looks for, and takes the holder's time when it has least.
+// A worker reports an end with each poll until it is acknowledged. HandleReport must return it as new only once. Logged and
+// counted each time, ends bury other log lines and take the holder's time when it has least.
 func TestEndReportedOnce(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
@@ -84,14 +84,14 @@
 		b.advance(time.Millisecond)
 		got := b.core.HandleReport(b.now, b.now, "w0", sched.Report{StartedAt: 1, Clock: b.now.Sub(epoch()), Finished: []sched.FinishedRun{end}})
 		if len(got) != want {
-			t.Errorf("news: %v, want %d", got, want)
+			t.Errorf("new ends: %v, want %d", got, want)
 		}
 	}
 }
 
-// Jobs change faster than they can be stored. Those that came first in the order of their ids were
-// stored again and again, the others never, and a cancel was not acknowledged for as long as that lasted: its caller
-// gave up, and the next holder, which knew of no cancel, started the job.
+// Changed jobs are stored in turn, and those for which a caller waits come first. If jobs change faster than they can be
+// stored and are stored in the order of their ids, the first ones are stored again and again and the others never.
+// A cancel then isn't acknowledged, its caller gives up, and the next holder, which doesn't know of it, starts the job.
 func TestChangesAreStoredInTurn(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -117,7 +117,7 @@
 	}
 	var got []string
 	got = append(got, collect())
-	fail(5) // all of them change once more
+	fail(5) // all jobs change once more
 	got = append(got, collect())
 	b.core.CancelJob(b.now, "d")
 	got = append(got, collect(), collect())
