--- a/internal/batch/sched/roster.go
+++ b/internal/batch/sched/roster.go
@@ -8,8 +8,8 @@
 	"bramleysail.example/bramleysail/internal/batch/health"
 )
 
-// UpdateDirectory takes the directory's list of workers. One that is missing gets nothing more; it
-// is polled on until it is surely empty.
+// UpdateDirectory applies the directory's list of workers. A worker that is missing from the list gets no more starts.
+// It is polled until it is certain that no run remains on it.
 func (c *Core) UpdateDirectory(now time.Time, members []Member) {
 	for _, w := range c.workers {
 		w.listed = false
@@ -20,9 +20,9 @@
 	c.expireLeases(now)
 }
 
-// InheritWorkers takes the workers that a former holder may have given work to.
-func (c *Core) InheritWorkers(now time.Time, crew []Member) {
-	for _, m := range crew {
+// InheritWorkers takes over the tracked workers of the former holder, which may have started runs on them.
+func (c *Core) InheritWorkers(now time.Time, members []Member) {
+	for _, m := range members {
 		if c.workers[m.ID] == nil {
 			c.updateMember(now, m, false)
 		}
@@ -31,6 +31,7 @@
 	}
 }
 
+// updateMember adds a worker or updates it from its directory entry.
 func (c *Core) updateMember(now time.Time, m Member, listed bool) {
 	w := c.workers[m.ID]
 	if w != nil && w.StartedAt != 0 && m.StartedAt > w.StartedAt {
@@ -48,7 +49,8 @@
 	w.Member = m
 	c.markStale(w)
 	w.listed = listed
-	// The entry is read again with any other's change, so the first word counts.
+	// An entry is read again whenever any other entry changes, so the drain time counts from the first read that shows
+	// it.
 	switch {
 	case !m.Draining:
 		w.drainUntil = time.Time{}
@@ -58,21 +60,25 @@
 	w.evacuated = c.evacuatedZones[m.Zone]
 }
 
-// handleRestart notes that a worker has started anew under its id. What its former life has shown to run has ended
-// with that. Any other order may have been carried out by the new one, or may be, as its fence is
-// unset, also where it was answered: answers don't name a life. Such runs stay until a poll of
-// the new life, a stop or their time settles them. No lease of the new life has lapsed
-// before it is heard of: its ends would be passed over as of before a lapse, and be acknowledged uncounted.
-func (c *Core) handleRestart(now time.Time, w *worker, born int64) {
+// handleRestart resets a worker whose process has restarted under the same id.
+//
+// Runs that the former incarnation reported have ended with it. Any other start may have been carried out by the new
+// incarnation, or may still be, since its fencing token is unset. This holds even for an answered start, as answers do
+// not name the incarnation. Such runs are kept until a report of the new incarnation, a stop or a timeout resolves
+// them.
+//
+// The new incarnation does not count as expired before its first report: its ends would be ignored as ends from
+// before a lease expiry, and then acknowledged without having been counted.
+func (c *Core) handleRestart(now time.Time, w *worker, startedAt int64) {
 	for _, r := range w.cloneRuns() {
 		switch {
 		case r.reported:
 			c.releaseRun(r)
 		case r.state == RunStopped:
-			r.state = RunStopping // the new life knows of no stop
+			r.state = RunStopping // the new incarnation has not received the stop
 		}
 	}
-	w.StartedAt = born
+	w.StartedAt = startedAt
 	w.leaseExpiry = now
 	w.restarted, w.inventoryComplete = true, false
 	w.ackedSeq, w.handledSeq, w.pendingAcks = 0, 0, nil
@@ -86,12 +92,12 @@
 	c.markStale(w)
 }
 
-// cloneRuns returns the runs of a worker as they are now, to be walked while some are dropped.
+// cloneRuns returns a copy of the run list that can be iterated while runs are removed.
 func (w *worker) cloneRuns() []*run {
 	return slices.Clone(w.runList)
 }
 
-// SetEvacuatedZones takes the failure domains that operators have taken out.
+// SetEvacuatedZones sets the failure domains that operators have taken out of service.
 func (c *Core) SetEvacuatedZones(zones map[string]bool) {
 	c.evacuatedZones = zones
 	for _, w := range c.workers {
@@ -99,10 +105,10 @@
 	}
 }
 
-// IncarnationEnded tells that another life answers at a worker's address: this one has ended.
-func (c *Core) IncarnationEnded(now time.Time, id string, born int64) {
+// IncarnationEnded records that an incarnation has ended, as another one answers at the worker's address.
+func (c *Core) IncarnationEnded(now time.Time, id string, startedAt int64) {
 	w := c.workers[id]
-	if w == nil || w.StartedAt != born {
+	if w == nil || w.StartedAt != startedAt {
 		return
 	}
 	for _, r := range w.cloneRuns() {
@@ -113,33 +119,33 @@
 	c.expireLeases(now)
 }
 
-// PollFailed tells that a poll of a worker was not answered.
-func (c *Core) PollFailed(now time.Time, id string, born int64) {
-	if w := c.workers[id]; w != nil && w.StartedAt == born && w.contact == ContactGood {
+// PollFailed records that a poll of a worker was not answered.
+func (c *Core) PollFailed(now time.Time, id string, startedAt int64) {
+	if w := c.workers[id]; w != nil && w.StartedAt == startedAt && w.contact == ContactGood {
 		w.contact = ContactLost
 	}
 }
 
-// expireLeases gives up the runs of workers whose lease has surely lapsed and drops workers that
-// are gone.
+// expireLeases releases the runs of workers whose lease has certainly expired. It removes a worker that is also missing
+// from the directory and has no run left.
 //
-// The store's word that this process holds has to be of after the lapse. Of before, another holder may have
-// been chosen since, on the far side of a cut, and renew the lease: the tasks run on there
-// while they look lapsed from here.
+// The store must have confirmed this holder after the expiry. With an older confirmation, another holder may have been
+// elected on the other side of a network partition and may have renewed the lease. The tasks would continue there while
+// they look expired from here.
 func (c *Core) expireLeases(now time.Time) {
 	for _, w := range slices.Clone(c.workersByID) {
 		if w.contact == ContactGood || now.Before(w.leaseExpiry) || c.confirmedByStore.Before(w.leaseExpiry) {
 			continue
 		}
-		kept, prolonged := false, c.leaseMayBeLonger(now, w)
+		kept, mayBeLonger := false, c.leaseMayBeLonger(now, w)
 		for _, r := range w.cloneRuns() {
-			if c.orphaned(now, r) || prolonged && r.incarnation == w.StartedAt {
+			if c.orphaned(now, r) || mayBeLonger && r.incarnation == w.StartedAt {
 				kept = true
 				continue
 			}
 			c.releaseRun(r)
 		}
-		w.expired = !prolonged && (!w.restarted || now.Sub(w.leaseExpiry) >= c.lateOrderWait())
+		w.expired = !mayBeLonger && (!w.restarted || now.Sub(w.leaseExpiry) >= c.lateOrderWait())
 		if !w.listed && !kept {
 			c.unindexWorker(w)
 			delete(c.workers, w.ID)
@@ -148,12 +154,14 @@
 	}
 }
 
-// leaseMayBeLonger reports whether the lease of a worker's present life may be longer than what was granted to it.
+// leaseMayBeLonger reports whether the lease of a worker's current incarnation may be longer than the one granted to
+// it.
 //
-// An order that was given to a former life and is carried out late, by the present one, brings a lease by the former
-// clock, which is ahead by all of that life: everything there runs on, up to the longest lease that
-// workers grant. Taken for lapsed, tasks ran twice, or again after their end was acknowledged uncounted. As
-// soon as no such order can come any more, what was granted holds.
+// A start that was sent to a former incarnation and is carried out late by the current one carries a lease on the
+// former clock. That clock is ahead by the uptime of the former incarnation, so all runs on the worker continue for up
+// to the longest lease that workers accept. If the lease counted as expired, tasks would run twice, or again after
+// their end was acknowledged without having been counted. Once no such start can arrive any more, the granted lease is
+// the limit.
 func (c *Core) leaseMayBeLonger(now time.Time, w *worker) bool {
 	for _, r := range w.runList {
 		if c.orphaned(now, r) {
@@ -163,8 +171,8 @@
 	return false
 }
 
-// extendExpiry notes how long the lease of a worker's present life may be by an order that was given to a former one and
-// has been carried out up to now; see prolonged, which is for those that may come yet.
+// extendExpiry extends the lease expiry of a worker's current incarnation if an order to a former incarnation may have
+// been carried out by now. leaseMayBeLonger covers orders that may still arrive.
 func (c *Core) extendExpiry(now time.Time, w *worker) {
 	for _, r := range w.runList {
 		if r.incarnation != w.StartedAt {
@@ -174,34 +182,34 @@
 	}
 }
 
-// orphaned reports whether an order that was given to a former life of a worker may still be
-// carried out by the present one. Its time, on the former life's clock, doesn't bound that:
-// the clock has begun anew. Only a stop settles it, or the time after which no order is
-// carried out any more.
+// orphaned reports whether a start that was sent to a former incarnation of a worker may still be carried out by the
+// current one, or may have been and the run may still be active. The end of the start's lease is no bound: it is on the
+// former clock, and the clock restarts with the worker. Only an acknowledged stop resolves such a run, or the time
+// after which a run that began late has ended.
 func (c *Core) orphaned(now time.Time, r *run) bool {
 	return !r.reported && r.state != RunStopped && r.incarnation != r.worker.StartedAt && now.Sub(r.startedAt) < c.lateOrderWait()
 }
 
 const (
-	// maxOrderDelay is the time after which workers no longer carry out an order that they left unanswered.
+	// maxOrderDelay is the time after which a worker no longer carries out an order that it has not answered.
 	maxOrderDelay = 12 * time.Second
-	// minLateOrderWait is the least time for which such an order is waited for.
+	// minLateOrderWait is the minimum time for which the scheduler waits for such an order.
 	minLateOrderWait = 20 * time.Second
 )
 
-// lateOrderWait returns how long after its order a run may go on that began late, in a later life of its worker: the lease that
-// the order brings is by the former life's clock, and may be as long as workers grant.
+// lateOrderWait returns how long after its start order a run may remain active that began late, in a later incarnation
+// of its worker. The lease of the order is on the former clock and may therefore be as long as workers accept.
 func (c *Core) lateOrderWait() time.Duration {
 	return max(minLateOrderWait, maxOrderDelay+c.expiryBound(c.opts.MaxWorkerLease))
 }
 
-// insertByID enters a worker into the list in the order of ids, by which equals are chosen among the same way every time.
+// insertByID inserts a worker into the list sorted by id, which makes the choice between equal workers deterministic.
 func (c *Core) insertByID(w *worker) {
 	i, _ := slices.BinarySearchFunc(c.workersByID, w.ID, compareID)
 	c.workersByID = slices.Insert(c.workersByID, i, w)
 }
 
-// removeByID takes a worker out of that list.
+// removeByID removes a worker from the list sorted by id.
 func (c *Core) removeByID(w *worker) {
 	if i, ok := slices.BinarySearchFunc(c.workersByID, w.ID, compareID); ok {
 		c.workersByID = slices.Delete(c.workersByID, i, i+1)
--- a/internal/batch/sched/worker.go
+++ b/internal/batch/sched/worker.go
@@ -8,168 +8,172 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// Incarnation names one life of a worker: it may start anew under the same id.
+// Incarnation identifies one process of a worker. A worker that restarts keeps its id and gets a new incarnation.
 type Incarnation struct {
 	ID        string `json:"id"`
-	StartedAt int64  `json:"born,omitempty"` // Unix milliseconds; 0: not known
+	StartedAt int64  `json:"born,omitempty"` // start of the process in Unix milliseconds; 0: unknown
 }
 
-// Member is a worker as the directory shows it.
+// Member is a worker as listed in the directory.
 type Member struct {
 	Incarnation
-	Service  string    `json:"service"`
-	Addr     string    `json:"addr"`
-	Zone     string    `json:"zone"`
-	Labels   []string  `json:"labels,omitempty"`
-	Rack     string    `json:"rack,omitempty"`
-	Size     wire.Size `json:"size"`
-	Draining bool      `json:"-"`
-	// DrainRemaining is how long a draining worker stays at least.
+	Service  string    `json:"service"`          // service whose steps the worker runs
+	Addr     string    `json:"addr"`             // network address
+	Zone     string    `json:"zone"`             // failure domain
+	Labels   []string  `json:"labels,omitempty"` // labels that a step may require
+	Rack     string    `json:"rack,omitempty"`   // rack within the zone
+	Size     wire.Size `json:"size"`             // total capacity
+	Draining bool      `json:"-"`                // the worker has announced that it leaves
+	// DrainRemaining is the minimum time that a draining worker stays available.
 	DrainRemaining time.Duration `json:"-"`
 }
 
 // End is the way in which a run ended.
 type End string
 
-// The ends of a run.
+// Ways in which a run ends.
 const (
 	EndDone           End = "done"
 	EndFailed         End = "failed"
 	EndStopped        End = "stopped"
-	EndLeaseExpired   End = "lapsed" // its worker's lease ran out
-	EndGangBroken     End = "broken" // another task of its gang ended
-	EndGangIncomplete End = "alone"  // the rest of its gang did not come
+	EndLeaseExpired   End = "lapsed" // the worker's lease expired
+	EndGangBroken     End = "broken" // another task of the gang ended
+	EndGangIncomplete End = "alone"  // the other tasks of the gang never started
 )
 
-// RunStatus is a run in a worker's report.
+// RunStatus is the status of an active run in a worker's report.
 type RunStatus struct {
-	Task        string
-	Run         int64
-	Checkpoint  string        // the newest checkpoint
-	Progress    int           // percent: of its work, or 100 for a lasting task that is past its startup
-	CPUUsage    float64       // millicores in use over the last half second, for a task that doesn't serve
-	TailLatency time.Duration // tail latency over the last half second, for a task that serves
+	Task        string        // task id as written by TaskID.String
+	Run         int64         // run number
+	Checkpoint  string        // newest checkpoint; empty: none
+	Progress    int           // percentage of the work done; 100 for a long-running task that has completed its startup
+	CPUUsage    float64       // millicores used over the last half second; only for tasks that are not latency-critical
+	TailLatency time.Duration // tail latency over the last half second; only for latency-critical tasks
 }
 
-// FinishedRun is an end in a worker's report; Seq counts the ends of a life from 1.
+// FinishedRun is the end of a run in a worker's report.
 type FinishedRun struct {
-	Seq        int64
-	Task       string
-	Run        int64
-	End        End
-	Checkpoint string
+	Seq        int64  // sequence number of the end within the incarnation, from 1
+	Task       string // task id as written by TaskID.String
+	Run        int64  // run number
+	End        End    // way in which the run ended
+	Checkpoint string // newest checkpoint; empty: none
 }
 
-// Report is a worker's answer to a poll: everything that it runs and every end not yet acknowledged.
+// Report is a worker's response to a poll. It lists all active runs and the ends that have not been acknowledged.
 type Report struct {
-	StartedAt int64
-	Clock     time.Duration // of the worker, since its start
-	Running   []RunStatus
-	Finished  []FinishedRun
+	StartedAt int64         // incarnation that answered
+	Clock     time.Duration // the worker's clock, which counts from the start of its process
+	Running   []RunStatus   // all active runs
+	Finished  []FinishedRun // unacknowledged ends in sequence order, at most maxReportedEnds
 }
 
-// Contact is a worker's health as seen from here.
+// Contact is the state of this holder's contact with a worker.
 type Contact string
 
-// The states of contact with a worker.
+// States of contact with a worker.
 const (
-	ContactNone Contact = ""     // not fenced by this holder yet
+	ContactNone Contact = ""     // the worker has not been fenced by this holder yet
 	ContactGood Contact = "good" // the last poll was answered
-	ContactLost Contact = "lost" // it wasn't
+	ContactLost Contact = "lost" // the last poll failed
 )
 
-// worker is a life of a worker with the ledger of its runs.
+// worker is the current incarnation of a worker with the runs assigned to it. Runs of a former incarnation stay listed
+// until it is certain that they have ended.
 type worker struct {
 	Member
-	listed            bool      // in the directory
-	polled            bool      // asked by this holder before
-	expired           bool      // its runs were given up after a lapse and it hasn't been heard since
-	inventoryComplete bool      // this life has told this holder all that it runs and all ends
-	restarted         bool      // it has started anew and hasn't been heard since
-	evacuated         bool      // its failure domain is taken out
-	drainUntil        time.Time // when it may leave; zero: it doesn't drain
-	tracked           bool      // in the store's record of workers that may hold runs
-	inherited         bool      // the record named it as this holder took over; another life of it may have got an order too
-	contact           Contact
-	leaseUntil        time.Duration // the lease granted to this life, on its clock
-	leaseExpiry       time.Time     // when every run there has ended unless the lease is renewed
-	ackedSeq          int64         // ends up to here are recorded and may be forgotten there
-	handledSeq        int64         // ends up to here have been handled
-	pendingAcks       []pendingAck  // of these, in their order, whose jobs have to be stored first
-
-	runs          map[runKey]*run
-	runList       []*run    // the same, in the order in which they came
-	allocated     wire.Size // of all runs but those that fill
-	bestEffortMem int       // memory of the runs that fill, MiB
-	bestEffortCPU int       // millicores asked for by the runs that fill
-	longRunning   wire.Size // of lasting runs
-	reserved      reservation
-	clock         clockReading
-	breaker       health.Breaker
-	colocation    colocation
-
-	forecast   forecast
-	indexStale bool      // in Core.stale
-	indexKey   *indexKey // nil: not in Core.rooms
+	listed            bool          // present in the directory
+	polled            bool          // polled by this holder before
+	expired           bool          // the lease expired, the runs were released, and no report has arrived since
+	inventoryComplete bool          // this incarnation has reported all of its runs and ends to this holder
+	restarted         bool          // no report has arrived since this holder noticed the restart
+	evacuated         bool          // its zone is evacuated
+	drainUntil        time.Time     // earliest time at which the draining worker may leave; zero: not draining
+	tracked           bool          // listed in the stored record of workers that may hold runs
+	inherited         bool          // tracked when this holder took over; an order of the former holder may also have gone to another incarnation
+	contact           Contact       // result of the last poll
+	leaseUntil        time.Duration // end of the lease granted to this incarnation, on the worker's clock
+	leaseExpiry       time.Time     // time by which all of its runs have ended unless the lease is renewed
+	ackedSeq          int64         // ends up to this number are stored and may be acknowledged
+	handledSeq        int64         // ends up to this number have been handled
+	pendingAcks       []pendingAck  // handled ends whose jobs have to be stored before the acknowledgement, in sequence order
+
+	runs          map[runKey]*run // runs that are or may be on the worker
+	runList       []*run          // the same runs in the order in which they were added
+	allocated     wire.Size       // declared size of all runs, without CPU and memory of best-effort runs
+	bestEffortMem int             // memory declared by best-effort runs, MiB
+	bestEffortCPU int             // millicores declared by best-effort runs
+	longRunning   wire.Size       // declared size of long-running runs that are not best-effort
+	reserved      reservation     // resources kept free for a task that waits for others to end
+	clock         clockReading    // newest reading of the worker's clock
+	breaker       health.Breaker  // excludes the worker from placement after failures
+	colocation    colocation      // state of best-effort tasks beside latency-critical ones
+
+	forecast   forecast  // cached forecast of unused CPU and interference
+	indexStale bool      // listed in Core.staleWorkers
+	indexKey   *indexKey // position in Core.workerIndexes; nil: not indexed
 }
 
+// runKey identifies a run of a task.
 type runKey struct {
 	task TaskID
-	run  int64
+	run  int64 // run number
 }
 
-// RunState is how sure it is that a run is there.
+// RunState is what this holder knows about a run.
 type RunState string
 
-// The states of a run.
+// States of a run.
 const (
-	RunSent     RunState = "sent"     // ordered, not answered
-	RunLive     RunState = "live"     // there
-	RunUnknown  RunState = "unsure"   // the order was not answered: it may come to life until it's stopped or lapsed
-	RunStopping RunState = "stopping" // to be stopped
-	RunStopped  RunState = "stopped"  // the stop is acknowledged; gone with the next poll that doesn't show it
+	RunSent     RunState = "sent"     // the start is in flight
+	RunLive     RunState = "live"     // the run is active on the worker
+	RunUnknown  RunState = "unsure"   // the start got no answer: the run may begin at any time until it is stopped or the lease expires
+	RunStopping RunState = "stopping" // the run has to be stopped
+	RunStopped  RunState = "stopped"  // the stop is acknowledged; the run is removed by the next report that does not list it
 )
 
+// run is an execution of a task on a worker.
 type run struct {
 	runKey
-	task            *task // nil: of a job that isn't known here
-	worker          *worker
-	state           RunState
-	incarnation     int64     // life of the worker that was meant
-	reported        bool      // a report of that life has shown it
-	orderedAt       time.Time // of the newest order about it
-	absent          bool      // a poll that was sent after its start went unanswered hasn't shown it
-	stopBackoff     backoff
-	throttleBackoff backoff
-	startedAt       time.Time // first seen or ordered
-	confirmedAt     time.Time // since when it was known to be there, or its stop to be acknowledged
-	cpuLimit        int       // percent, as the worker was told
-	cpuLimitSetAt   time.Time // when it was
-	wantedCPULimit  int       // percent, as it should be
-	throttledSince  time.Time // since when that is below movePace; zero: it isn't
-	cpuUsage        float64   // millicores
-	tailLatency     time.Duration
-	adopted         bool      // it began before this holder knew of it
-	starved         bool      // its job was as it was placed; see Core.starve
-	progress        int       // percent of its work that is done
-	ready           bool      // a serving task past its startup
-	overTargetSince time.Time // since when the tail is over its target; zero: it isn't
+	task            *task         // nil: the run is to be stopped because its task is unknown, done, or has another run
+	worker          *worker       // worker that runs the task
+	state           RunState      // what is known about the run
+	incarnation     int64         // StartedAt of the incarnation that the start was sent to
+	reported        bool          // that incarnation has reported the run
+	orderedAt       time.Time     // time of the newest order about the run
+	absent          bool          // the start got no answer, and a later poll did not list the run
+	stopBackoff     backoff       // spaces out stop orders
+	throttleBackoff backoff       // spaces out throttle orders
+	startedAt       time.Time     // time of the start order, or of the first report for an adopted run
+	confirmedAt     time.Time     // time at which the run was confirmed as active or its stop as acknowledged
+	cpuLimit        int           // CPU limit that the worker acknowledged, percent
+	cpuLimitSetAt   time.Time     // time of that acknowledgement
+	wantedCPULimit  int           // CPU limit that the run should have, percent
+	throttledSince  time.Time     // since when wantedCPULimit is below minKeepCPULimit; zero: it is not
+	cpuUsage        float64       // reported CPU usage, millicores
+	tailLatency     time.Duration // reported tail latency
+	adopted         bool          // first known from a report, not from an order of this holder
+	starved         bool          // the job was starved when the run was placed; see Core.updateStarved
+	progress        int           // percentage of the work done
+	ready           bool          // the task has completed its startup; only meaningful for long-running tasks
+	overTargetSince time.Time     // since when the tail latency is over its target; zero: it is not
 }
 
+// free returns the capacity that no run has been allocated.
 func (w *worker) free() wire.Size {
 	f := w.Size.Minus(w.allocated)
 	f.Mem -= w.bestEffortMem
 	return f
 }
 
-// addRun enters a run into the ledger; see Core.attach.
+// addRun adds a run to the worker and updates the allocated resources. Callers use Core.attachRun.
 func (w *worker) addRun(r *run) {
 	w.runs[r.runKey] = r
 	w.runList = append(w.runList, r)
 	w.countRun(r, 1)
 }
 
-// removeRun takes a run out of the ledger and reports whether it was there; see Core.detach.
+// removeRun removes a run from the worker and reports whether it was present. Callers use Core.detachRun.
 func (w *worker) removeRun(r *run) bool {
 	if w.runs[r.runKey] != r {
 		return false
@@ -181,6 +185,7 @@
 	return true
 }
 
+// countRun adds the declared size of a run to the allocated resources if sign is 1, and subtracts it if sign is -1.
 func (w *worker) countRun(r *run, sign int) {
 	if r.task == nil {
 		return
@@ -202,6 +207,7 @@
 	}
 }
 
+// hasLabel reports whether the worker carries a label. The empty label matches every worker.
 func (w *worker) hasLabel(label string) bool {
 	if label == "" {
 		return true
