--- a/internal/batch/sched/poll.go
+++ b/internal/batch/sched/poll.go
@@ -5,99 +5,102 @@
 	"time"
 )
 
-// fullProgress is the part of a lasting task that is at work, in percent.
+// fullProgress is the progress of a finished task, or of a long-running task that has completed its startup, in
+// percent.
 const fullProgress = 100
 
-// minClockRate is how slow a worker's clock may be against ours.
+// minClockRate is the lowest rate of a worker's clock relative to this host's clock.
 const minClockRate = 0.98
 
-// PollRequest is what to ask of a worker next.
+// PollRequest is the next poll to send to a worker.
 type PollRequest struct {
 	Incarnation
-	Addr        string
-	AckedSeq    int64         // ends up to here may be forgotten
-	LeaseUntil  time.Duration // lease to grant, on the worker's clock; 0: none
-	Wait        time.Duration // for an end
-	AnswerSlack time.Duration // what the answer may take beyond Wait
+	Addr        string        // network address
+	AckedSeq    int64         // the worker may forget its ends up to this number
+	LeaseUntil  time.Duration // end of the granted lease, on the worker's clock; 0: no lease
+	Wait        time.Duration // time for which the worker may delay its answer while no run ends
+	AnswerSlack time.Duration // time that the answer may take beyond Wait
 }
 
-// clockReading is a reading of a worker's clockReading.
+// clockReading is a reading of a worker's clock.
 type clockReading struct {
-	value      time.Duration
-	receivedAt time.Time // when the answer arrived
+	value      time.Duration // time on the worker's clock
+	receivedAt time.Time     // time at which the report with the reading arrived
 }
 
-// now returns what the clock shows at t if it runs as ours does.
+// now returns the time on the worker's clock at t, assuming that it runs at the rate of this host's clock.
 func (k clockReading) now(t time.Time) time.Duration {
 	return k.value + t.Sub(k.receivedAt)
 }
 
-// Times between two polls a worker; a poll that waits is answered at once by an end.
+// Values of PollRequest.Wait. A worker answers a waiting poll at once when a run ends.
 const (
-	// pollIdle leaves enough of the lease that the former poll renewed: a holder that is lost just
-	// before the next one is replaced within it.
+	// pollIdle is the default. It leaves enough of the lease that the previous poll renewed: a holder that is lost just
+	// before its next poll is replaced before the lease expires.
 	pollIdle = 1400 * time.Millisecond
-	// pollColocated is for a worker where tasks that fill run beside one that serves: its tail
-	// is a figure of half a second, and pacing has to follow within a few of them.
+	// pollColocated applies to a worker with best-effort tasks beside a latency-critical one. A measurement of tail
+	// latency covers half a second, and throttling has to react within a few measurements.
 	pollColocated = 700 * time.Millisecond
-	// pollOverTarget is for one of these whose serving task is over its target.
+	// pollOverTarget applies to such a worker while a latency-critical task is over its latency target.
 	pollOverTarget = 300 * time.Millisecond
-	// pollUnresolved is for a worker with runs whose fate has to be settled.
+	// pollUnresolved applies to a worker with a run in state RunUnknown or RunStopped, which the next report may
+	// resolve.
 	pollUnresolved = 50 * time.Millisecond
 )
 
 const (
-	// answerSlack is well above the time that a worker's answer takes, and pollFirst that of the first one to this holder:
-	// after a takeover all workers answer at once, and given up too early they would all be asked anew.
+	// answerSlack is well above the time that a worker's answer takes. firstAnswerSlack is well above the time of the
+	// first answer to this holder: all workers answer at once after a takeover, and with a shorter timeout all of them
+	// would be polled again.
 	answerSlack      = 700 * time.Millisecond
 	firstAnswerSlack = 2 * time.Second
 )
 
-// NextPoll returns what to ask of the worker, and false when it isn't to be polled any more.
+// NextPoll returns the next poll to send to a worker. It returns false if the worker is not to be polled any more.
 func (c *Core) NextPoll(now time.Time, id string) (PollRequest, bool) {
 	w := c.workers[id]
 	if w == nil {
 		return PollRequest{}, false
 	}
-	l := PollRequest{Incarnation: w.Incarnation, Addr: w.Addr, AnswerSlack: answerSlack}
+	req := PollRequest{Incarnation: w.Incarnation, Addr: w.Addr, AnswerSlack: answerSlack}
 	if !w.polled {
 		w.polled = true
-		l.AnswerSlack = firstAnswerSlack
+		req.AnswerSlack = firstAnswerSlack
 	}
 	if w.contact != ContactGood {
-		// It may have started anew meanwhile under its id, with ends that count from 1: by the
-		// numbers of its former life it would forget some that nobody has heard of.
-		return l, true
+		// The worker may have restarted under the same id and numbers its ends from 1 again. Acknowledging by the
+		// numbers of the former incarnation would make it forget ends that no holder has received.
+		return req, true
 	}
-	l.AckedSeq = w.ackedSeq
-	l.Wait = pollIdle
+	req.AckedSeq = w.ackedSeq
+	req.Wait = pollIdle
 	if w.colocated() {
-		l.Wait = pollColocated
+		req.Wait = pollColocated
 		if w.overTarget() {
-			l.Wait = pollOverTarget
+			req.Wait = pollOverTarget
 		}
 	}
 	for _, r := range w.runList {
 		if r.state == RunUnknown || r.state == RunStopped {
-			l.Wait = pollUnresolved
+			req.Wait = pollUnresolved
 		}
 	}
 	if w.handledSeq > w.ackedSeq {
-		l.Wait = 0
+		req.Wait = 0
 	}
 	if c.mayAct(now) {
-		l.LeaseUntil = c.grantLease(now, w)
+		req.LeaseUntil = c.grantLease(now, w)
 	}
-	return l, true
+	return req, true
 }
 
-// grantLease returns the moment on the worker's clock until which its lease holds from now on, and
-// notes when it will have lapsed for sure. A worker whose clock isn't known gets none.
+// grantLease renews a worker's lease and returns its end on the worker's clock. It also updates the time by which the
+// lease has certainly expired. A worker without good contact gets no lease, as its clock is not known.
 //
-// The lease counts from this holder's last confirmation, not from now. A holder goes on for a while
-// without one, and with leases from then its successor, which can't tell when that was, started
-// tasks that still ran on workers out of its reach. So all that a former holder has granted ends
-// within one lease of the moment in which its successor was chosen.
+// The lease counts from this holder's last confirmation, not from now. A holder keeps acting for a while without a
+// confirmation, and its successor cannot tell for how long. If leases counted from the time of the grant, the successor
+// could start tasks that still run on workers out of its reach. Counted from the confirmation, all leases of a former
+// holder expire within one lease time of the election of its successor.
 func (c *Core) grantLease(now time.Time, w *worker) time.Duration {
 	if w.contact != ContactGood {
 		return 0
@@ -108,22 +111,24 @@
 	return until.Truncate(time.Millisecond)
 }
 
-// leaseCoversStart reports whether enough is left of the lease that a worker has by its polls for a start to carry it.
+// leaseCoversStart reports whether enough of the lease that the polls have granted to a worker is left for a start.
 //
-// A worker that has lost power still gets starts until a poll of it fails. With a new lease in each, what ran
-// there had to wait until the last of these had run out.
+// A start carries that lease and does not renew it. A worker that has lost power still gets starts until a poll of it
+// fails. If each start renewed the lease, the tasks of that worker could not be restarted elsewhere until the last of
+// these leases had expired.
 func (w *worker) leaseCoversStart(now time.Time) bool {
 	return w.leaseUntil-w.clock.now(now) >= minStartLease
 }
 
-// minStartLease is the least that is left of a start's lease as it leaves: less may be over before the next
+// minStartLease is the minimum remaining lease of a start when it is sent. A shorter one may expire before the next
 // poll renews it.
 const minStartLease = time.Second
 
-// expirySlack is for a worker's noticing that its lease has run out.
+// expirySlack is the time that a worker may take to notice that its lease has expired.
 const expirySlack = 100 * time.Millisecond
 
-// HandleReport takes a worker's answer to a poll that was sent at sent and returns the ends that are news.
+// HandleReport handles a worker's report, the answer to a poll that was sent at the time sent. It returns the ends that
+// no earlier report contained.
 func (c *Core) HandleReport(sent, now time.Time, id string, rep Report) []FinishedRun {
 	w := c.workers[id]
 	if w == nil {
@@ -141,14 +146,14 @@
 	c.extendExpiry(now, w)
 	w.contact = ContactGood
 	w.clock = clockReading{rep.Clock, now}
-	var news []FinishedRun
+	var newEnds []FinishedRun
 	for _, f := range rep.Finished {
 		if f.Seq <= w.handledSeq {
 			continue
 		}
-		news = append(news, f)
-		// What ended before a lapse was given up and placed anew; counting it now would
-		// count two runs of one task.
+		newEnds = append(newEnds, f)
+		// After a lease expiry the tasks were released and placed again. Counting an end from before the expiry
+		// would count two runs of one task.
 		if !w.expired {
 			c.handleRunEnd(now, w, f)
 			w.holdAck(f.Seq, c.jobOfTask(f.Task))
@@ -156,84 +161,86 @@
 		w.handledSeq = f.Seq
 	}
 	w.expired, w.restarted = false, false
-	shown := c.recordRunning(sent, now, w, rep)
+	listed := c.recordRunning(sent, now, w, rep)
 	if len(rep.Finished) < maxReportedEnds {
 		w.inventoryComplete = true
-		c.dropMissing(sent, w, shown)
+		c.dropMissing(sent, w, listed)
 	}
 	c.processMeasurements(now, w)
-	return news
+	return newEnds
 }
 
-// maxReportedEnds is the most ends in a report. After a full one, a run that isn't shown may have
-// ended with its end still to come; taking it for gone would run it twice.
+// maxReportedEnds is the maximum number of ends in a report. If a report is full, a run that it does not list may have
+// ended with its end due in a later report. Releasing such a run would run the task twice.
 const maxReportedEnds = 500
 
-// recordRunning enters what a worker runs into the ledger and returns that.
+// recordRunning records the active runs of a report and returns their keys.
 //
-// A run that is shown is its task's only one from when a former holder has ceased to act: before, each of two
-// holders may see it end and start the task on a worker that the other doesn't reach.
+// A reported run counts as the only run of its task once the former holder has certainly stopped acting. Before that,
+// each of two holders may see the run end and start the task on a worker that the other does not reach.
 func (c *Core) recordRunning(sent, now time.Time, w *worker, rep Report) map[runKey]bool {
-	sole := !sent.Before(c.termStart.Add(c.opts.MaxUnconfirmed))
-	shown := make(map[runKey]bool, len(rep.Running))
-	for _, row := range rep.Running {
-		id, err := ParseTaskID(row.Task)
+	formerHolderStopped := !sent.Before(c.termStart.Add(c.opts.MaxUnconfirmed))
+	listed := make(map[runKey]bool, len(rep.Running))
+	for _, status := range rep.Running {
+		id, err := ParseTaskID(status.Task)
 		if err != nil {
 			continue
 		}
-		key := runKey{id, row.Run}
-		shown[key] = true
+		key := runKey{id, status.Run}
+		listed[key] = true
 		r := w.runs[key]
 		if r == nil {
 			r = c.adopt(now, w, key)
 		}
-		r.applyStatus(now, row)
+		r.applyStatus(now, status)
 		r.reported = r.reported || r.incarnation == w.StartedAt
 		if r.task != nil {
 			r.task.step.job.started = true
 		}
-		if sole && r.task != nil && r.task.run == r {
+		if formerHolderStopped && r.task != nil && r.task.run == r {
 			r.task.soleRunSeen = true
 		}
-		if r.task != nil && row.Checkpoint != "" && r.task.run == r {
-			c.saveCheckpoint(r.task, row.Checkpoint)
+		if r.task != nil && status.Checkpoint != "" && r.task.run == r {
+			c.saveCheckpoint(r.task, status.Checkpoint)
 		}
 	}
-	return shown
+	return listed
 }
 
-// dropMissing gives up the runs that a report doesn't show and would if they were there.
-func (c *Core) dropMissing(sent time.Time, w *worker, shown map[runKey]bool) {
+// dropMissing releases the runs that a report would list if they were active, and does not list.
+func (c *Core) dropMissing(sent time.Time, w *worker, listed map[runKey]bool) {
 	for _, r := range w.cloneRuns() {
-		// A poll that was sent before the start was answered may have overtaken it.
-		if shown[r.runKey] || !r.confirmedAt.Before(sent) {
+		// A poll that was sent before the run was confirmed may have overtaken its start.
+		if listed[r.runKey] || !r.confirmedAt.Before(sent) {
 			continue
 		}
 		if r.state == RunUnknown && r.orderedAt.Before(sent) {
 			r.absent = true
 		}
 		if r.state == RunLive || r.state == RunStopped {
-			// It ended, and its end was told and forgotten, or it never came and never will.
+			// The run ended and its end was reported and forgotten, or it never began and never will.
 			c.releaseRun(r)
 		}
 	}
 }
 
-func (r *run) applyStatus(now time.Time, row RunStatus) {
+// applyStatus updates a run from its status in a report.
+func (r *run) applyStatus(now time.Time, status RunStatus) {
 	if r.state == RunSent || r.state == RunUnknown {
 		r.state = RunLive
 		r.confirmedAt = now
 	}
-	r.cpuUsage, r.tailLatency = row.CPUUsage, row.TailLatency
-	r.progress = row.Progress
-	r.ready = row.Progress >= fullProgress
+	r.cpuUsage, r.tailLatency = status.CPUUsage, status.TailLatency
+	r.progress = status.Progress
+	r.ready = status.Progress >= fullProgress
 	if r.exceedsCPULimit(now) {
 		r.cpuLimit = unknownCPULimit
 	}
 }
 
-// adopt enters a run that a worker shows and the ledger doesn't: of a former holder, or of
-// an order given up for lost. It is kept if its task has no other run, and stopped otherwise.
+// adopt adds a reported run that this holder has no record of: a former holder started it, or this holder gave up its
+// start as lost. It becomes the run of its task if the task is unfinished and has no other run. Otherwise it is
+// stopped.
 func (c *Core) adopt(now time.Time, w *worker, key runKey) *run {
 	r := &run{runKey: key, worker: w, adopted: true, state: RunLive, incarnation: w.StartedAt, startedAt: now, orderedAt: now, confirmedAt: now, cpuLimit: fullCPULimit, wantedCPULimit: fullCPULimit}
 	t := c.findTask(key.task)
@@ -249,15 +256,16 @@
 	return r
 }
 
-func (c *Core) saveCheckpoint(t *task, save string) {
+// saveCheckpoint records the newest checkpoint of a task.
+func (c *Core) saveCheckpoint(t *task, checkpoint string) {
 	j := t.step.job
 	if j.checkpoints == nil {
 		j.checkpoints = map[TaskID]string{}
 	}
-	j.checkpoints[t.id()] = save
+	j.checkpoints[t.id()] = checkpoint
 }
 
-// handleRunEnd takes the handleRunEnd of a run.
+// handleRunEnd handles the end of a run in a worker's report.
 func (c *Core) handleRunEnd(now time.Time, w *worker, f FinishedRun) {
 	id, err := ParseTaskID(f.Task)
 	if err != nil {
@@ -295,7 +303,7 @@
 	}
 }
 
-// completeTask notes a task's success, through whichever run.
+// completeTask marks a task as done after a successful run, which need not be its current one.
 func (c *Core) completeTask(now time.Time, w *worker, t *task, r *run) {
 	w.breaker.RecordSuccess()
 	if r != nil && t.run == r {
@@ -324,7 +332,7 @@
 	}
 }
 
-// completeGang notes that a gang is done: the end of one stands for all.
+// completeGang marks all tasks of a gang as done, since the success of one task counts for the whole gang.
 func (c *Core) completeGang(s *stepInstance) {
 	for _, t := range s.tasks {
 		if t.done {
@@ -338,6 +346,8 @@
 	}
 }
 
+// recordFailure counts a failed run against its worker and its task. The job fails once one of its tasks has used up
+// its attempts. Runs of a gang count together, and long-running tasks have no limit.
 func (c *Core) recordFailure(now time.Time, w *worker, t *task, run int64) {
 	w.breaker.RecordFailure(now, t.step.job.ID)
 	t.avoidWorker = w.ID
@@ -362,7 +372,7 @@
 	}
 }
 
-// stopRun has a run ended.
+// stopRun marks a run to be stopped.
 func (c *Core) stopRun(r *run) {
 	if r.state != RunStopped {
 		r.state = RunStopping
--- a/internal/batch/sched/sendcheck.go
+++ b/internal/batch/sched/sendcheck.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// UnsentCause is why an order isn't sent.
+// UnsentCause is the reason why an order is not sent.
 type UnsentCause string
 
-// The causes for which orders aren't sent.
+// Causes for which orders are not sent.
 const (
 	CauseNone           UnsentCause = ""
-	CauseNotHolder      UnsentCause = "tenure"  // the holder may no longer act
-	CauseRunGone        UnsentCause = "run"     // the run is gone, or nobody wants that of it any more
-	CauseIncarnation    UnsentCause = "life"    // the worker has started anew
-	CauseUnreachable    UnsentCause = "contact" // the worker isn't reached
-	CauseShortLease     UnsentCause = "lease"   // what is left of the lease that the start brings is too short
-	CauseUnschedulable  UnsentCause = "closed"  // the worker leaves, or operators have taken its failure domain out
-	CauseStaleDirectory UnsentCause = "roster"  // the directory as held is too old, though the store answers
-	CauseStaleIntent    UnsentCause = "intent"  // likewise what operators have written
+	CauseNotHolder      UnsentCause = "tenure"  // this process may no longer act as the holder
+	CauseRunGone        UnsentCause = "run"     // the run has been removed, or no longer needs the order
+	CauseIncarnation    UnsentCause = "life"    // the worker has restarted
+	CauseUnreachable    UnsentCause = "contact" // the last poll of the worker failed, or none has been answered yet
+	CauseShortLease     UnsentCause = "lease"   // too little is left of the lease that the start carries
+	CauseUnschedulable  UnsentCause = "closed"  // the worker is draining or missing from the directory, or its zone is evacuated
+	CauseStaleDirectory UnsentCause = "roster"  // the last read of the directory is too old, though the store answers
+	CauseStaleIntent    UnsentCause = "intent"  // the last read of the operators' intent is too old, though the store answers
 )
 
-// CheckSend tells that an order is about to leave, and returns why it must not, if so. One that doesn't leave is
-// to be answered as OutcomeUnsent.
+// CheckSend is called right before an order is sent. It returns the cause for which the order must not be sent, or
+// CauseNone. The caller passes an order that it does not send to HandleOutcome with OutcomeUnsent.
 //
-// Against orders that waited here, as they do when there are many, and are out of date: a worker carries out
-// the start of a job whose cancel was acknowledged meanwhile, or of a holder whose successor is at work.
-// As the core is asked right before an order is sent, what it has heard until then holds for it.
+// It guards against orders that became outdated while they waited to be sent, which happens when there are many: a
+// worker would carry out a start for a job whose cancellation was acknowledged meanwhile, or from a holder whose
+// successor already acts. The check takes into account all that the core has received up to then.
 func (c *Core) CheckSend(now time.Time, o Order) UnsentCause {
 	w := c.workers[o.Incarnation.ID]
 	if w == nil {
@@ -51,13 +51,13 @@
 	}
 	r.orderedAt = now
 	if o.Verb == VerbStart {
-		// How long it may come to life in a later life of the worker counts from here; see orphaned.
+		// The time for which a later incarnation of the worker may carry out the start counts from here; see orphaned.
 		r.startedAt = now
 	}
 	return CauseNone
 }
 
-// checkStart returns why a start must not leave.
+// checkStart returns the cause for which a start must not be sent, or CauseNone.
 func (c *Core) checkStart(now time.Time, w *worker, r *run, o Order) UnsentCause {
 	switch {
 	case !c.mayAct(now):
--- a/internal/batch/sched/staleness.go
+++ b/internal/batch/sched/staleness.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Times that operators allow for what the store was told to show in starts.
+// Times that operators allow between a change in the store and the last start that does not take it into account.
 const (
-	drainStartLimit = 2 * time.Second // from a worker's word that it leaves
-	evacStartLimit  = 5 * time.Second // from the word that a failure domain is taken out
-	// orderMargin is kept of these for an order's way to its worker, and for the time since the store's last word to
-	// this holder, which isn't in the ages below.
+	drainStartLimit = 2 * time.Second // after a worker has announced that it drains
+	evacStartLimit  = 5 * time.Second // after operators have evacuated a zone
+	// orderMargin is the part of these limits reserved for the transit of an order to its worker and for the time since
+	// the store's last confirmation of this holder, which the ages below do not include.
 	orderMargin = 400 * time.Millisecond
 )
 
-// NoteDirectoryRead tells that the list of workers held is no older than a reading of the directory that began at a time. Its age
-// bounds starts from the first such call on.
+// NoteDirectoryRead records that the list of workers in use comes from a read of the directory that began at the given
+// time or later. From the first call on, starts are blocked while the read is too old.
 func (c *Core) NoteDirectoryRead(at time.Time) {
 	if at.After(c.directoryReadAt) {
 		c.directoryReadAt = at
 	}
 }
 
-// NoteIntentRead is ReadRoster for what operators have written.
+// NoteIntentRead does the same as NoteDirectoryRead for the intent that operators have written.
 func (c *Core) NoteIntentRead(at time.Time) {
 	if at.After(c.intentReadAt) {
 		c.intentReadAt = at
 	}
 }
 
-// StaleCause returns why nothing is started at present, if what is held of the store is too old while the store
-// answers.
+// StaleCause returns the cause that blocks all starts if a read of the store is too old although the store answers, and
+// CauseNone otherwise.
 //
-// The failure it guards against: a holder that is behind its work is confirmed, but its readings of the directory
-// fail or come late. It starts tasks on workers that said seconds ago that they leave. Ages count up to the store's
-// last word, so that work goes on while the store is away for all.
+// It guards against a holder that is overloaded: the store confirms it, but its reads of the directory fail or come
+// late, so it starts tasks on workers that announced seconds ago that they drain. Ages are measured up to the store's
+// last confirmation, so that starts continue while no process reaches the store.
 func (c *Core) StaleCause() UnsentCause {
-	roster, intent := c.readingAges()
+	directory, intent := c.readingAges()
 	switch {
-	case roster > drainStartLimit-orderMargin:
+	case directory > drainStartLimit-orderMargin:
 		return CauseStaleDirectory
 	case intent > evacStartLimit-orderMargin:
 		return CauseStaleIntent
@@ -43,11 +43,13 @@
 	return CauseNone
 }
 
-// readingAges returns how much older the readings are than the store's last word to this holder.
-func (c *Core) readingAges() (roster, intent time.Duration) {
+// readingAges returns how much older the reads of the directory and of the intent are than the store's last
+// confirmation of this holder.
+func (c *Core) readingAges() (directory, intent time.Duration) {
 	return c.readingAge(c.directoryReadAt), c.readingAge(c.intentReadAt)
 }
 
+// readingAge returns the same for one read. It returns 0 if no read has been recorded.
 func (c *Core) readingAge(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
@@ -55,7 +57,7 @@
 	return max(0, elapsedSince(c.confirmedByStore, at))
 }
 
-// mayStart reports whether tasks may be started.
+// mayStart reports whether this holder may start tasks: it may act, and its reads of the store are recent enough.
 func (c *Core) mayStart(now time.Time) bool {
 	return c.mayAct(now) && c.StaleCause() == CauseNone
 }
