--- a/internal/batch/sched/move.go
+++ b/internal/batch/sched/move.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// moveInterval is how often tasks that would be better off elsewhere are looked for.
+	// moveInterval is the minimum time between two searches for runs to move.
 	moveInterval = 100 * time.Millisecond
-	// minKeepCPULimit is the pace below which a filling task is better off elsewhere: stopping it and
-	// resuming it takes about half a second, a third of a task.
+	// minKeepCPULimit is the CPU limit in percent below which a best-effort task is better moved: stopping and resuming
+	// it takes about half a second, a third of a task's duration.
 	minKeepCPULimit = 50
-	// moveAfterThrottled is how long a filling task is slowed before it's moved: a peak of the load that
-	// is over by then costs less.
+	// moveAfterThrottled is how long a best-effort task is throttled before it is moved: a load peak that ends earlier
+	// costs less than a move.
 	moveAfterThrottled = 400 * time.Millisecond
-	// moveBeforeLeave is how long before its worker may leave a lasting task is moved: a stop takes
-	// up to 0.4 s.
+	// moveBeforeLeave is how long before its draining worker may leave a long-running task is moved: a stop takes up to
+	// 0.4 s.
 	moveBeforeLeave = 600 * time.Millisecond
-	// minMoveAffinity is the affinity that a worker must have with a lasting task that is moved there: images that
-	// are mixed leave no worker to the filling images that disturb one of them.
+	// minMoveAffinity is the minimum affinity between a long-running task and the worker to which it is moved. Mixing
+	// images would leave no worker for the best-effort images that interfere with one of them.
 	minMoveAffinity = 0.2
 )
 
-// moveRuns stops tasks that are better off elsewhere; they are placed anew with what they have
-// saved.
+// moveRuns stops runs that are better off on another worker: stragglers, throttled best-effort runs, and long-running
+// runs on draining workers. Their tasks are placed again and resume from the newest checkpoint.
 func (c *Core) moveRuns(now time.Time) {
 	if now.Sub(c.lastMoveCheck) < moveInterval || !c.mayStart(now) {
 		return
@@ -36,23 +36,23 @@
 			if r.task == nil || r.state != RunLive || r.task.step.spec.Gang || !r.throttledTooLong(now) && !r.workerLeaving(now, w) {
 				continue
 			}
-			to := c.bestWorker(now, r.task, "")
-			if to == nil || to == w || taken[to] {
+			dest := c.bestWorker(now, r.task, "")
+			if dest == nil || dest == w || taken[dest] {
 				continue
 			}
-			if s := r.task.step.spec; s.LongRunning && c.affinity(to, s.Image) < minMoveAffinity {
+			if s := r.task.step.spec; s.LongRunning && c.affinity(dest, s.Image) < minMoveAffinity {
 				continue
 			}
-			taken[to] = true
+			taken[dest] = true
 			r.task.avoidWorker = w.ID
-			r.orderedAt = time.Time{} // the stop is sent at once
+			r.orderedAt = time.Time{} // sends the stop without a delay
 			c.stopRun(r)
 		}
 	}
 }
 
-// throttledTooLong reports whether a filling run is paced down for so long that beginning anew elsewhere is worth what is
-// lost: nothing where its progress is saved, else the time for which it has worked.
+// throttledTooLong reports whether a best-effort run has been throttled for so long that a restart elsewhere is worth
+// the work it loses: none if the task writes checkpoints, otherwise the time it ran before it was throttled.
 func (r *run) throttledTooLong(now time.Time) bool {
 	if r.throttledSince.IsZero() {
 		return false
@@ -64,10 +64,10 @@
 	return d >= moveAfterThrottled
 }
 
-// workerLeaving reports whether a lasting run's worker may soon leave. What ends with its worker is
-// begun anew only when the worker's lease has surely lapsed, some 6 s later. Other tasks stay:
-// most workers stay for longer than they promise, and with the lasting ones gone they work at
-// full speed there.
+// workerLeaving reports whether a long-running run has to be moved because its worker may leave soon. A task that ends
+// with its worker is restarted only after the worker's lease has certainly expired, about 6 s later. Other tasks are
+// not moved: most workers stay longer than announced, and without long-running tasks beside them the others run at full
+// speed there.
 func (r *run) workerLeaving(now time.Time, w *worker) bool {
 	return w.Draining && r.task.step.spec.LongRunning && now.Add(moveBeforeLeave).After(w.drainUntil)
 }
--- a/internal/batch/sched/straggler.go
+++ b/internal/batch/sched/straggler.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// stragglerFactor is how many times as long as the others of its step a task runs before it counts as a straggler,
-	// and gainFactor how many times as long as anew elsewhere the rest of its work would take then.
+	// stragglerFactor is the multiple of the typical duration of its step after which a run may count as a straggler.
+	// minRestartGain is the minimum ratio of the run's remaining time to the time of a restart on another worker.
 	stragglerFactor = 2
 	minRestartGain  = 1.5
-	// minStragglerPeers is how many tasks of a step have to have ended for a time to be told from theirs.
+	// minStragglerPeers is the number of finished tasks that a step needs for a typical duration.
 	minStragglerPeers = 2
-	// restartCost is what stopping a task and starting it elsewhere takes besides its work.
+	// restartCost is the time that stopping a task and starting it elsewhere takes in addition to its work.
 	restartCost = 500 * time.Millisecond
 )
 
-// typicalDuration returns how long a task of the step takes, by those that have ended: at least half of them. 0: not known.
+// typicalDuration returns the median duration of the step's finished tasks. It returns 0, for unknown, if fewer than
+// half of the tasks or fewer than minStragglerPeers have finished.
 func (s *stepInstance) typicalDuration() time.Duration {
 	if len(s.durations) < minStragglerPeers || 2*len(s.durations) < len(s.tasks) {
 		return 0
@@ -25,31 +26,31 @@
 	return s.durations[len(s.durations)/2]
 }
 
-// isStraggler reports whether a run is so far behind the others of its step that its task ends sooner when it is begun
-// anew elsewhere.
+// isStraggler reports whether a run is so far behind the other tasks of its step that its task would finish sooner if
+// restarted on another worker.
 //
-// The failure it guards against: a worker has turned slow, or its tasks stand still; a job whose other tasks have long
-// ended waits for the one on that worker.
+// It guards against a worker that becomes slow or makes no progress: a job whose other tasks finished long ago would
+// wait for the task on that worker.
 func (r *run) isStraggler(now time.Time) bool {
 	s := r.task.step
 	if s.spec.LongRunning || s.spec.Gang || r.state != RunLive || !r.cpuLimitSetAt.IsZero() {
 		return false
 	}
-	usual := s.typicalDuration()
-	ran := now.Sub(r.startedAt)
-	if usual == 0 || ran < stragglerFactor*usual {
+	typical := s.typicalDuration()
+	elapsed := now.Sub(r.startedAt)
+	if typical == 0 || elapsed < stragglerFactor*typical {
 		return false
 	}
-	anew := usual
+	restarted := typical
 	if s.spec.Checkpointed {
-		anew = anew * time.Duration(fullProgress-r.progress) / fullProgress
+		restarted = restarted * time.Duration(fullProgress-r.progress) / fullProgress
 	}
-	rest := ran * time.Duration(fullProgress-r.progress) / time.Duration(max(r.progress, 1))
-	return float64(rest) > minRestartGain*float64(anew+restartCost)
+	remaining := elapsed * time.Duration(fullProgress-r.progress) / time.Duration(max(r.progress, 1))
+	return float64(remaining) > minRestartGain*float64(restarted+restartCost)
 }
 
-// replaceStragglers stops stragglers for which there is a place elsewhere. Their workers are taken for bad ones as if the tasks
-// had failed there.
+// replaceStragglers stops stragglers that fit on another worker. Each one counts against its worker's circuit breaker
+// like a failure there. Workers in taken are already the destination of another move.
 func (c *Core) replaceStragglers(now time.Time, taken map[*worker]bool) {
 	for _, w := range c.workersByID {
 		if w.contact != ContactGood {
@@ -59,16 +60,16 @@
 			if r.task == nil || r.task.run != r || !r.isStraggler(now) {
 				continue
 			}
-			former := r.task.avoidWorker
+			previous := r.task.avoidWorker
 			r.task.avoidWorker = w.ID
-			to := c.bestWorker(now, r.task, "")
-			if to == nil || to == w || taken[to] {
-				r.task.avoidWorker = former
+			dest := c.bestWorker(now, r.task, "")
+			if dest == nil || dest == w || taken[dest] {
+				r.task.avoidWorker = previous
 				continue
 			}
-			taken[to] = true
+			taken[dest] = true
 			w.breaker.RecordFailure(now, r.task.step.job.ID)
-			r.orderedAt = time.Time{} // the stop is sent at once
+			r.orderedAt = time.Time{} // sends the stop without a delay
 			c.stopRun(r)
 		}
 	}
