--- a/internal/batch/sched/breaker_test.go
+++ b/internal/batch/sched/breaker_test.go
@@ -8,8 +8,8 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// A worker fails all that it runs at once and is sound again seconds later. It is left out for so long that a lasting task for
-// which only this worker has room stands still.
+// A worker fails all of its runs at once and is healthy again seconds later. If each failure extended the exclusion of
+// the worker, a long-running task that fits on no other worker would be down for too long.
 func TestSimultaneousFailuresTripOnce(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	const jobs = 12
@@ -24,8 +24,8 @@
 		t.Fatalf("%d starts, want %d", len(ends), jobs)
 	}
 	b.poll("w0", sched.Report{Finished: ends})
-	feed := oneTaskJob("feed", func(j *sched.Job) { j.Steps[0].LongRunning = true })
-	b.core.AddJob(b.now, feed)
+	job := oneTaskJob("feed", func(j *sched.Job) { j.Steps[0].LongRunning = true })
+	b.core.AddJob(b.now, job)
 	for waited := time.Duration(0); waited <= 4*time.Second; waited += 500 * time.Millisecond {
 		b.poll("w0", sched.Report{Finished: ends})
 		for _, o := range b.planOrders(sched.VerbStart) {
@@ -35,5 +35,5 @@
 		}
 		b.advance(500 * time.Millisecond)
 	}
-	t.Error("the lasting task doesn't run within 4s")
+	t.Error("the long-running task is not started within 4 s")
 }
--- a/internal/batch/sched/incarnation_test.go
+++ b/internal/batch/sched/incarnation_test.go
@@ -8,8 +8,8 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// A worker starts anew while ends of its former life wait to be stored. Those numbers mean nothing to the new life: acknowledged
-// by them, it would forget ends that nobody has heard of.
+// A worker restarts while ends of its former incarnation wait to be stored. If the new incarnation were acknowledged by
+// the old sequence numbers, it would forget ends that no holder has received.
 func TestPendingAckOfFormerIncarnation(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("a", nil))
@@ -25,13 +25,13 @@
 		t.Fatal(err)
 	}
 	b.core.MarkCommitted(batch)
-	if l, _ := b.core.NextPoll(b.now, "w0"); l.AckedSeq != 0 {
-		t.Errorf("ends up to %d of the new life are acknowledged, and it has told none", l.AckedSeq)
+	if req, _ := b.core.NextPoll(b.now, "w0"); req.AckedSeq != 0 {
+		t.Errorf("ends up to %d of the new incarnation are acknowledged, but it has reported none", req.AckedSeq)
 	}
 }
 
-// A worker starts anew, and its clock with it. A start that carries the lease of the former life's clock would
-// let it run for as long as workers allow, past what this holder counts with.
+// A worker restarts, and its clock starts from zero. A start with a lease on the former incarnation's clock would let
+// the run continue for the longest lease that workers accept, beyond the expiry that this holder assumes.
 func TestLeaseOfFormerIncarnation(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.advance(time.Minute)
@@ -42,18 +42,18 @@
 	b.core.AddJob(b.now, oneTaskJob("a", nil))
 	got := b.planOrders(sched.VerbStart)
 	if len(got) != 1 || got[0].LeaseUntil > time.Second+lease {
-		t.Errorf("started %v, want one with a lease until %v at most", got, time.Second+lease)
+		t.Errorf("starts %v, want one with a lease until %v at most", got, time.Second+lease)
 	}
 }
 
-// A start isn't answered, and the stop that follows is, by the worker's first life; then it starts anew. The
-// start may still come, to a life that knows of no stop: the task isn't started elsewhere before that is
-// impossible, or the new life has taken the stop too.
+// A start gets no answer, the worker acknowledges the stop that follows, and then it restarts. The start may still
+// arrive at the new incarnation, which has not received the stop. The task must not be started elsewhere until that is
+// impossible or the new incarnation has acknowledged a stop as well.
 func TestStopByFormerIncarnation(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		again bool // the new life takes the stop
-	}{{"new life out of reach", false}, {"new life takes the stop", true}} {
+		name    string
+		stopped bool // the new incarnation acknowledges the stop
+	}{{"new incarnation out of reach", false}, {"new incarnation stopped", true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newHarness(t, 1, 2).openWorkers()
 			b.core.AddJob(b.now, oneTaskJob("j", nil))
@@ -65,34 +65,34 @@
 			b.poll(o.Incarnation.ID, sched.Report{})
 			b.advance(400 * time.Millisecond)
 			if got := b.planOrders(sched.VerbStop); len(got) != 1 {
-				t.Fatalf("stops: %v", got)
+				t.Fatalf("stops %v, want one", got)
 			}
-			all := members(2)
-			for i := range all {
-				if all[i].ID == o.Incarnation.ID {
-					all[i].StartedAt = 2
+			directory := members(2)
+			for i := range directory {
+				if directory[i].ID == o.Incarnation.ID {
+					directory[i].StartedAt = 2
 				}
 			}
-			b.core.UpdateDirectory(b.now, all)
-			if tt.again {
+			b.core.UpdateDirectory(b.now, directory)
+			if tt.stopped {
 				b.poll(o.Incarnation.ID, sched.Report{StartedAt: 2})
 				if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-					t.Fatalf("started %v before the new life has taken the stop", got)
+					t.Fatalf("starts %v before the new incarnation has acknowledged the stop", got)
 				}
 				b.advance(400 * time.Millisecond)
 				if got := b.planOrders(sched.VerbStop); len(got) != 1 || got[0].Incarnation.StartedAt != 2 {
-					t.Fatalf("stops for the new life: %v", got)
+					t.Fatalf("stops %v, want one for the new incarnation", got)
 				}
 				b.poll(o.Incarnation.ID, sched.Report{StartedAt: 2})
 				if got := b.planOrders(sched.VerbStart); len(got) != 1 {
-					t.Errorf("started %v after the stop, want the task", got)
+					t.Errorf("starts %v after the stop, want the task", got)
 				}
 				return
 			}
 			for b.now.Sub(ordered) < 12*time.Second+lease {
 				b.poll(other, sched.Report{})
 				if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-					t.Fatalf("placed again %s after the order", b.now.Sub(ordered))
+					t.Fatalf("placed again %s after the start order", b.now.Sub(ordered))
 				}
 				b.advance(100 * time.Millisecond)
 			}
@@ -100,21 +100,21 @@
 	}
 }
 
-// A worker starts anew under its id, and its feeds stand still for 20 s: once because the new life can't be reached,
-// once because it is lost soon after it was given feeds of its own. What an unanswered order may
-// still bring to life there was waited for, though every order had been answered.
+// Guards against a needless outage of 20 s for the long-running tasks of a worker that restarts. The new incarnation is
+// out of reach, or is lost soon after it was given tasks. The scheduler must not wait for runs that an unanswered start
+// may still begin there, since every start was answered.
 func TestRestartedWorkerIsNotWaitedFor(t *testing.T) {
-	feed := func(j *sched.Job) { j.Steps[0].LongRunning = true }
+	longRunning := func(j *sched.Job) { j.Steps[0].LongRunning = true }
 	for _, tt := range []struct {
 		name string
-		lose func(b *harness, id string) // has the worker start anew, and be lost
+		lose func(b *harness, id string) // restarts the worker and loses contact with it
 	}{
-		{"new life out of reach", func(b *harness, id string) {}},
-		{"new life reached and lost", func(b *harness, id string) {
+		{"new incarnation out of reach", func(b *harness, id string) {}},
+		{"new incarnation reached and lost", func(b *harness, id string) {
 			b.poll(id, sched.Report{StartedAt: 2})
 			b.core.MarkTracked(b.core.TrackedWorkers())
 			if got := b.planOrders(sched.VerbStart); len(got) != 1 || got[0].Incarnation.ID != id {
-				b.t.Fatalf("started %v, want the feed again in the new life", got)
+				b.t.Fatalf("starts %v, want the long-running task on the new incarnation", got)
 			}
 			b.core.PollFailed(b.now, id, 2)
 			b.advance(formerLeasesEnd + 100*time.Millisecond)
@@ -122,16 +122,16 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newHarness(t, 1, 2).openWorkers()
-			b.core.AddJob(b.now, oneTaskJob("feed", feed))
+			b.core.AddJob(b.now, oneTaskJob("feed", longRunning))
 			o := b.planOrders(sched.VerbStart)[0]
 			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runningRow(o)}})
-			all := members(2)
-			for i := range all {
-				if all[i].ID == o.Incarnation.ID {
-					all[i].StartedAt = 2
+			directory := members(2)
+			for i := range directory {
+				if directory[i].ID == o.Incarnation.ID {
+					directory[i].StartedAt = 2
 				}
 			}
-			b.core.UpdateDirectory(b.now, all)
+			b.core.UpdateDirectory(b.now, directory)
 			tt.lose(b, o.Incarnation.ID)
 			b.poll(otherWorker(o), sched.Report{})
 			for _, got := range b.planOrders(sched.VerbStart) {
@@ -139,13 +139,13 @@
 					return
 				}
 			}
-			t.Error("the feed isn't started on the other worker")
+			t.Error("the long-running task is not started on the other worker")
 		})
 	}
 }
 
-// A check-in runs twice. Its worker starts anew while the ends of its former life are being
-// stored; the acknowledgement of these makes it forget the new life's ends unheard.
+// Guards against a task that runs twice. Its worker restarts while ends of the former incarnation are being stored, and
+// their acknowledgement makes it forget ends of the new incarnation that no holder has received.
 func TestAckOfFormerIncarnation(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.poll("w0", sched.Report{Finished: []sched.FinishedRun{{Seq: 40, Task: "x.0.0.0", Run: 1, End: sched.EndDone}}})
@@ -155,14 +155,13 @@
 	}
 	b.poll("w0", sched.Report{StartedAt: 2})
 	b.core.MarkCommitted(batch)
-	if l, _ := b.core.NextPoll(b.now, "w0"); l.AckedSeq != 0 {
-		t.Errorf("ends up to %d of the new life acknowledged unheard", l.AckedSeq)
+	if req, _ := b.core.NextPoll(b.now, "w0"); req.AckedSeq != 0 {
+		t.Errorf("ends up to %d of the new incarnation are acknowledged before it reported any", req.AckedSeq)
 	}
 }
 
-// A worker that has crashed and started again under its id runs nothing of before: its tasks
-// are placed anew at once, but for one whose order was never answered, which may come to
-// life in the new life.
+// A worker that has crashed and restarted under its id has lost all of its runs. Its tasks are placed again at once,
+// except one whose start was never answered, since the new incarnation may still carry it out.
 func TestWorkerRestart(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
@@ -171,25 +170,25 @@
 	b.core.HandleOutcome(b.now, orders[0], sched.OutcomeDone)
 	b.core.HandleOutcome(b.now, orders[1], sched.OutcomeUnknown)
 	b.advance(time.Second)
-	all := members(1)
-	all[0].StartedAt = 2
-	b.core.UpdateDirectory(b.now, all)
+	directory := members(1)
+	directory[0].StartedAt = 2
+	b.core.UpdateDirectory(b.now, directory)
 	b.core.MarkTracked(b.core.TrackedWorkers())
 	b.poll("w0", sched.Report{StartedAt: 2})
-	again := b.planOrders(sched.VerbStart)
-	if len(again) != 1 || again[0].Task != orders[0].Task {
-		t.Fatalf("placed %v, want %v", again, orders[0].Task)
+	starts := b.planOrders(sched.VerbStart)
+	if len(starts) != 1 || starts[0].Task != orders[0].Task {
+		t.Fatalf("starts %v, want only %v", starts, orders[0].Task)
 	}
 }
 
-// A check-in runs twice. Its order isn't answered, the worker starts anew and is cut off; the
-// order's time is of the former life's clock, so the new life carries it out seconds after
-// every lease has lapsed by our count.
+// Guards against a task that runs twice. Its start gets no answer, and the worker restarts and is cut off. The lease of
+// the start is on the former incarnation's clock, so the new incarnation may carry out the start seconds after every
+// lease has expired by the holder's count.
 func TestOrderOfFormerIncarnation(t *testing.T) {
-	for _, hold := range []time.Duration{lease, 2 * lease} {
-		t.Run(fmt.Sprint(hold), func(t *testing.T) {
+	for _, maxLease := range []time.Duration{lease, 2 * lease} {
+		t.Run(fmt.Sprint(maxLease), func(t *testing.T) {
 			b := &harness{t: t, now: epoch()}
-			b.core = sched.New(sched.Options{WorkerLease: lease, MaxWorkerLease: hold, MaxUnconfirmed: maxUnconfirmed, Term: 1}, b.now)
+			b.core = sched.New(sched.Options{WorkerLease: lease, MaxWorkerLease: maxLease, MaxUnconfirmed: maxUnconfirmed, Term: 1}, b.now)
 			b.core.UpdateDirectory(b.now, members(2))
 			b.openWorkers()
 			b.advance(formerLeasesEnd)
@@ -202,10 +201,10 @@
 			other := otherWorker(o)
 			b.poll(o.Incarnation.ID, sched.Report{StartedAt: 2})
 			b.core.PollFailed(b.now, o.Incarnation.ID, 2)
-			for b.now.Sub(ordered) < 12*time.Second+hold*100/98 {
+			for b.now.Sub(ordered) < 12*time.Second+maxLease*100/98 {
 				b.poll(other, sched.Report{})
 				if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-					t.Fatalf("placed again %s after the order", b.now.Sub(ordered))
+					t.Fatalf("placed again %s after the start order", b.now.Sub(ordered))
 				}
 				b.advance(100 * time.Millisecond)
 			}
@@ -213,44 +212,44 @@
 	}
 }
 
-// A check-in runs twice. Its worker starts anew, carries out an order in its new life and ends
-// it before it is polled; the former life's lease has lapsed by then, so the end is passed
-// over as of before a lapse, and acknowledged.
+// Guards against a task that runs twice. Its worker restarts, and the new incarnation carries out a start and finishes
+// the run before it is polled. The lease of the former incarnation has expired by then, so the end would be ignored as
+// one from before the expiry and then acknowledged.
 func TestExpiryOfFormerIncarnation(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
 	o := b.planOrders(sched.VerbStart)[0]
 	b.core.PollFailed(b.now, "w0", 1)
 	b.advance(formerLeasesEnd + lease)
-	all := members(1)
-	all[0].StartedAt = 2
-	b.core.UpdateDirectory(b.now, all)
+	directory := members(1)
+	directory[0].StartedAt = 2
+	b.core.UpdateDirectory(b.now, directory)
 	b.planOrders(sched.VerbStart)
 	b.poll("w0", sched.Report{StartedAt: 2, Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
 	b.storeChanges()
 	b.checkState("j", sched.StateCompleted)
 }
 
-// A book is finished twice. Its worker is cut off, starts anew behind the cut under the same id, and
-// carries out an order that was meant for its former life; the book is done there before the cut
-// heals. The first poll after it must not acknowledge ends by the former life's numbers: the
-// worker would forget the success before anybody heard of it.
+// Guards against a task that finishes twice. Its worker is cut off, restarts under the same id during the network
+// partition, and carries out a start that was sent to the former incarnation. The task finishes before contact returns.
+// The first poll afterwards must not acknowledge ends by the former incarnation's sequence numbers, or the worker would
+// forget the success before any holder received it.
 func TestAckAfterLostContact(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
 	o := b.planOrders(sched.VerbStart)[0]
 	b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndFailed)}})
 	b.storeChanges()
-	l, _ := b.core.NextPoll(b.now, o.Incarnation.ID)
-	if l.AckedSeq != 1 {
-		t.Fatalf("acknowledged up to %d, want 1", l.AckedSeq)
+	req, _ := b.core.NextPoll(b.now, o.Incarnation.ID)
+	if req.AckedSeq != 1 {
+		t.Fatalf("acknowledged up to %d, want 1", req.AckedSeq)
 	}
 	b.core.PollFailed(b.now, o.Incarnation.ID, 1)
-	if l, _ = b.core.NextPoll(b.now, o.Incarnation.ID); l.AckedSeq != 0 {
-		t.Errorf("after a poll without an answer, ends up to %d are acknowledged to whoever answers next", l.AckedSeq)
+	if req, _ = b.core.NextPoll(b.now, o.Incarnation.ID); req.AckedSeq != 0 {
+		t.Errorf("after a failed poll, ends up to %d are acknowledged to an incarnation not known yet, want none", req.AckedSeq)
 	}
 	b.poll(o.Incarnation.ID, sched.Report{})
-	if l, _ = b.core.NextPoll(b.now, o.Incarnation.ID); l.AckedSeq != 1 {
-		t.Errorf("with the same life again, ends up to %d are acknowledged, want 1", l.AckedSeq)
+	if req, _ = b.core.NextPoll(b.now, o.Incarnation.ID); req.AckedSeq != 1 {
+		t.Errorf("with contact to the same incarnation restored, ends up to %d are acknowledged, want 1", req.AckedSeq)
 	}
 }
--- a/internal/batch/sched/lateorder_test.go
+++ b/internal/batch/sched/lateorder_test.go
@@ -7,9 +7,9 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// A check-in runs twice. An order isn't answered, its worker starts anew, gets the check-in and is cut off. The order is
-// carried out late, in the new life: its time is of the former life's clock, which is far ahead, so
-// that it prolongs the lease of all that runs there beyond what this holder has granted.
+// Guards against a task that runs twice. Another task's start gets no answer, and the worker restarts, gets the task
+// and is cut off. The new incarnation carries out the first start late. Its lease is on the former incarnation's clock,
+// which is far ahead, so it extends the lease of all runs on the worker beyond the one that this holder granted.
 func TestOrderOfFormerIncarnationExtendsLease(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	b.advance(formerLeasesEnd)
@@ -24,7 +24,7 @@
 	b.core.AddJob(b.now, oneTaskJob("k", nil))
 	k := b.planOrders(sched.VerbStart)
 	if len(k) != 1 || k[0].Incarnation.ID != "w0" {
-		t.Fatalf("placed %v, want one on w0", k)
+		t.Fatalf("starts %v, want one on w0", k)
 	}
 	b.poll("w0", sched.Report{StartedAt: 2, Running: []sched.RunStatus{runningRow(k[0])}})
 	b.core.PollFailed(b.now, "w0", 2)
@@ -32,24 +32,24 @@
 		b.poll("w1", sched.Report{})
 		b.core.MarkTracked(b.core.TrackedWorkers())
 		if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-			t.Fatalf("placed %v, %v after the order", got, b.now.Sub(ordered))
+			t.Fatalf("starts %v, %v after the first order, want none", got, b.now.Sub(ordered))
 		}
 		b.advance(200 * time.Millisecond)
 	}
 	b.advance(5 * time.Second)
 	b.poll("w1", sched.Report{})
 	if got := b.planOrders(sched.VerbStart); len(got) != 2 {
-		t.Errorf("placed %v once the order can't be carried out any more, want both tasks", got)
+		t.Errorf("starts %v once the first order can no longer be carried out, want both tasks", got)
 	}
 }
 
-// A check-in runs twice. Its worker starts anew, and an order that was on its way to the former life is carried out and
-// answered by the new one, with a lease by the former clock. The worker grants more than this holder
-// does, and runs on for as long as it grants after contact with it is lost.
+// Guards against a task that runs twice. Its worker restarts, and the new incarnation carries out and answers a start
+// that was in flight to the former incarnation, with a lease on the former clock. The worker accepts longer leases than
+// this holder grants, so after the loss of contact its runs continue for the longest lease that it accepts.
 func TestAnswerOfFormerIncarnationExtendsLease(t *testing.T) {
-	const hold = lease + 2*time.Second
+	const maxLease = lease + 2*time.Second
 	b := &harness{t: t, now: epoch()}
-	b.core = sched.New(sched.Options{WorkerLease: lease, MaxWorkerLease: hold, MaxUnconfirmed: time.Hour, Term: 1}, b.now)
+	b.core = sched.New(sched.Options{WorkerLease: lease, MaxWorkerLease: maxLease, MaxUnconfirmed: time.Hour, Term: 1}, b.now)
 	b.core.UpdateDirectory(b.now, members(2))
 	b.openWorkers()
 	b.advance(formerLeasesEnd)
@@ -64,14 +64,14 @@
 	b.poll("w0", sched.Report{StartedAt: 2, Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
 	b.core.AddJob(b.now, oneTaskJob("k", nil))
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 || got[0].Incarnation.ID != "w0" {
-		t.Fatalf("placed %v, want one on w0", got)
+		t.Fatalf("starts %v, want one on w0", got)
 	}
 	b.core.PollFailed(b.now, "w0", 2)
-	for b.now.Sub(answered) < hold {
+	for b.now.Sub(answered) < maxLease {
 		b.poll("w1", sched.Report{})
 		b.core.MarkTracked(b.core.TrackedWorkers())
 		if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-			t.Fatalf("placed %v, %v after the answer", got, b.now.Sub(answered))
+			t.Fatalf("starts %v, %v after the answer, want none", got, b.now.Sub(answered))
 		}
 		b.advance(100 * time.Millisecond)
 	}
--- a/internal/batch/sched/poll.go
+++ b/internal/batch/sched/poll.go
@@ -190,7 +190,7 @@
 		listed[key] = true
 		r := w.runs[key]
 		if r == nil {
-			r = c.adopt(now, w, key)
+			r = c.adoptRun(now, w, key)
 		}
 		r.applyStatus(now, status)
 		r.reported = r.reported || r.incarnation == w.StartedAt
@@ -238,10 +238,10 @@
 	}
 }
 
-// adopt adds a reported run that this holder has no record of: a former holder started it, or this holder gave up its
-// start as lost. It becomes the run of its task if the task is unfinished and has no other run. Otherwise it is
+// adoptRun adds a reported run that this holder has no record of: a former holder started it, or this holder gave up
+// its start as lost. It becomes the run of its task if the task is unfinished and has no other run. Otherwise it is
 // stopped.
-func (c *Core) adopt(now time.Time, w *worker, key runKey) *run {
+func (c *Core) adoptRun(now time.Time, w *worker, key runKey) *run {
 	r := &run{runKey: key, worker: w, adopted: true, state: RunLive, incarnation: w.StartedAt, startedAt: now, orderedAt: now, confirmedAt: now, cpuLimit: fullCPULimit, wantedCPULimit: fullCPULimit}
 	t := c.findTask(key.task)
 	if t == nil || t.done || t.run != nil || t.step.job.state.Final() {
--- a/internal/batch/sched/staleness_test.go
+++ b/internal/batch/sched/staleness_test.go
@@ -7,15 +7,15 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// Bounds that operators set: on starts after a worker's word that it leaves, and after the word that a failure domain
-// is taken out.
+// Times after which operators allow no more starts on a worker that has announced that it drains, and in a zone that
+// has been evacuated.
 const (
 	drainLimit = 2 * time.Second
 	evacLimit  = 5 * time.Second
 )
 
-// A task starts on a worker that told the store seconds ago that it leaves, or in a failure domain that was taken out.
-// The holder is confirmed all the while, but its readings of what the store holds come late.
+// Guards against starts on a worker that announced seconds ago that it drains, or in a zone that was evacuated. The
+// holder stays confirmed all the time, but its reads of the store come late.
 func TestStaleReadingBlocksStarts(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -41,32 +41,32 @@
 			b.core.AddJob(b.now, oneTaskJob("j", nil))
 			orders := b.core.Plan(b.now)
 			if len(orders) != 1 {
-				t.Fatalf("planned %v, want a start", orders)
+				t.Fatalf("orders %v, want a start", orders)
 			}
 			o := orders[0]
 			wait(tt.most)
 			if got := b.core.CheckSend(b.now, o); got != tt.want {
-				t.Errorf("the start is barred by %q, want %q", got, tt.want)
+				t.Errorf("the start is blocked by %q, want %q", got, tt.want)
 			}
 			b.core.HandleOutcome(b.now, o, sched.OutcomeUnsent)
 			b.core.AddJob(b.now, oneTaskJob("k", nil))
 			if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-				t.Errorf("placed %v by a reading of %v ago", got, b.now.Sub(began))
+				t.Errorf("starts %v with a read from %v ago, want none", got, b.now.Sub(began))
 			}
 			tt.read(b.core, began.Add(-time.Second))
 			if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-				t.Errorf("placed %v after the answer to an older reading", got)
+				t.Errorf("starts %v after the answer to an older read, want none", got)
 			}
 			tt.read(b.core, b.now)
 			if got := b.planOrders(sched.VerbStart); len(got) != 2 {
-				t.Errorf("placed %v after a new reading, want both tasks", got)
+				t.Errorf("starts %v after a new read, want both tasks", got)
 			}
 		})
 	}
 }
 
-// Work stops in an outage of the store for all, in which no reading succeeds and only peers confirm the holder. Once
-// the store answers again, what was held before it is out of date.
+// Guards against a stop of all work while no process reaches the store, so that no read succeeds and only peers confirm
+// the holder. Once the store answers again, reads from before the outage are stale.
 func TestStoreOutageBlocksNoStarts(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.NoteDirectoryRead(b.now)
@@ -80,13 +80,13 @@
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
 	orders := b.core.Plan(b.now)
 	if len(orders) != 1 {
-		t.Fatalf("planned %v, want a start", orders)
+		t.Fatalf("orders %v, want a start", orders)
 	}
 	if got := b.core.CheckSend(b.now, orders[0]); got != sched.CauseNone {
-		t.Errorf("the start is barred by %q", got)
+		t.Errorf("the start is blocked by %q during the outage", got)
 	}
 	b.core.ConfirmHolder(b.now)
 	if got := b.core.CheckSend(b.now, orders[0]); got == sched.CauseNone {
-		t.Error("the start leaves by a reading of before the outage")
+		t.Error("the start is sent with a read from before the outage")
 	}
 }
--- a/internal/batch/sched/straggler_test.go
+++ b/internal/batch/sched/straggler_test.go
@@ -7,24 +7,25 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// A job waits for one task on a worker that has turned slow, or where tasks stand still, while its other tasks have long ended.
+// Guards against a job that waits for one task on a worker that has become slow or makes no progress, while its other
+// tasks finished long ago.
 func TestStraggler(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		part  int // percent of the last task's work after three times what the others took
-		saves bool
-		want  bool // it is begun anew
+		name         string
+		progress     int // progress of the last task in percent after three times the duration of the others
+		checkpointed bool
+		want         bool // the task is restarted on the other worker
 	}{
-		{"stands still", 0, false, true},
-		{"a fifth of the speed", 60, false, false},
-		{"a tenth of the speed", 30, false, true},
+		{"no progress", 0, false, true},
+		{"a fifth of the usual speed", 60, false, false},
+		{"a tenth of the usual speed", 30, false, true},
 		{"nearly done", 95, false, false},
-		{"saved, a fifth of the speed", 60, true, true},
+		{"checkpointed, a fifth of the usual speed", 60, true, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newHarness(t, 1, 2).openWorkers()
 			b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) {
-				j.Steps[0].Count, j.Steps[0].Checkpointed = 4, tt.saves
+				j.Steps[0].Count, j.Steps[0].Checkpointed = 4, tt.checkpointed
 			}))
 			orders := b.planOrders(sched.VerbStart)
 			if len(orders) != 4 {
@@ -37,13 +38,13 @@
 				id := o.Incarnation.ID
 				ends[id] = append(ends[id], finishedRow(int64(len(ends[id])+1), o, sched.EndDone))
 			}
-			row := runningRow(slow)
-			row.Progress = tt.part
+			status := runningRow(slow)
+			status.Progress = tt.progress
 			for range 4 {
 				for _, id := range []string{"w0", "w1"} {
 					rep := sched.Report{Finished: ends[id]}
 					if id == slow.Incarnation.ID {
-						rep.Running = []sched.RunStatus{row}
+						rep.Running = []sched.RunStatus{status}
 					}
 					b.poll(id, rep)
 				}
@@ -51,7 +52,7 @@
 			}
 			stops := b.planOrders(sched.VerbStop)
 			if got := len(stops) == 1 && stops[0].Task == slow.Task; got != tt.want {
-				t.Fatalf("stopped %v, want it %v", stops, tt.want)
+				t.Fatalf("stops %v, want the slow task stopped: %v", stops, tt.want)
 			}
 			if !tt.want {
 				return
@@ -59,7 +60,7 @@
 			b.poll(slow.Incarnation.ID, sched.Report{Finished: append(ends[slow.Incarnation.ID], finishedRow(int64(len(ends[slow.Incarnation.ID])+1), slow, sched.EndStopped))})
 			starts := b.planOrders(sched.VerbStart)
 			if len(starts) != 1 || starts[0].Incarnation.ID != otherWorker(slow) {
-				t.Errorf("begun anew by %v, want one start on %s", starts, otherWorker(slow))
+				t.Errorf("starts %v, want one on %s", starts, otherWorker(slow))
 			}
 		})
 	}
--- a/internal/batch/sched/takeover_test.go
+++ b/internal/batch/sched/takeover_test.go
@@ -7,8 +7,8 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// A worker is cut off and runs on. Its tasks are placed anew only when its lease has surely
-// run out, also by a clock that is 2 % slow, and what it tells of them afterwards counts no more.
+// A worker that is cut off keeps running its tasks. They must be placed again only after its lease has certainly
+// expired, even on a clock that is 2 % slow, and ends that the worker reports afterwards must not count.
 func TestLeaseExpiry(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
@@ -22,23 +22,23 @@
 	for b.now.Sub(granted) < lease*100/98 {
 		b.poll(other, sched.Report{})
 		if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-			t.Fatalf("placed again %s after the lease was granted for %s", b.now.Sub(granted), lease)
+			t.Fatalf("placed again %s after a lease of %s was granted", b.now.Sub(granted), lease)
 		}
 		b.advance(100 * time.Millisecond)
 	}
-	b.advance(formerLeasesEnd - lease) // what a former holder may have granted has to end too
-	again := b.planOrders(sched.VerbStart)
-	if len(again) != 1 || again[0].Incarnation.ID != other {
-		t.Fatalf("after the lapse: %v", again)
+	b.advance(formerLeasesEnd - lease) // leases of a former holder must have expired too
+	restarts := b.planOrders(sched.VerbStart)
+	if len(restarts) != 1 || restarts[0].Incarnation.ID != other {
+		t.Fatalf("starts after the lease expiry: %v, want one on the other worker", restarts)
 	}
 	b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
 	b.storeChanges()
 	b.checkState("j", sched.StateRunning)
 }
 
-// A worker loses power. Until a poll of it fails, it still gets starts, each with a new lease: its feeds
-// waited until the last of these leases must have run out, and stood still for longer than operators
-// allow. What the polls have granted bounds the wait, also when the store confirms the holder late.
+// A worker that loses power still gets starts until a poll of it fails. If each start renewed the lease, its
+// long-running tasks would be down until the last of these leases had expired, longer than operators allow. Only leases
+// granted by polls may bound the wait, even when the store confirms the holder late.
 func TestStartsDontExtendExpiry(t *testing.T) {
 	for _, age := range []time.Duration{0, 240 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 		t.Run(age.String(), func(t *testing.T) {
@@ -63,14 +63,15 @@
 					return
 				}
 			}
-			t.Error("the feed isn't started once the lease of before the loss has run out")
+			t.Error("the long-running task is not started after the lease granted before the power loss has expired")
 		})
 	}
 }
 
-// The store takes the holder's key away, another holder takes over and renews a worker's lease; the former one
-// doesn't reach that worker and, confirmed a moment ago, takes its runs for lapsed. A book is printed twice. A lease
-// has lapsed only once the store has confirmed the holder after it ran out: nobody else can have renewed it then.
+// Guards against a task that runs twice. A holder loses its claim in the store, and its successor renews a worker's
+// lease. The former holder does not reach that worker, was confirmed a moment ago, and considers the runs there
+// expired. A lease counts as expired only after the store has confirmed the holder later than the expiry, as no one
+// else can have renewed it then.
 func TestExpiryNeedsConfirmation(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
@@ -80,15 +81,15 @@
 	b.poll(otherWorker(o), sched.Report{})
 	b.now = b.now.Add(time.Second)
 	if got := b.core.Plan(b.now); len(got) != 0 {
-		t.Errorf("ordered %v by a confirmation of before the lapse", got)
+		t.Errorf("orders %v with a confirmation from before the lease expiry", got)
 	}
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 {
-		t.Errorf("started %v once confirmed, want the task", got)
+		t.Errorf("starts %v once confirmed, want the task", got)
 	}
 }
 
-// A holder takes over while a worker is out of reach. A task of before may run there, so it
-// waits until the worker is reached or every lease of then has ended; new jobs don't wait.
+// A holder takes over while a worker is out of reach. A task of the former holder may run there, so it is withheld
+// until the worker is reached or every lease of the former holder has expired. New jobs are not withheld.
 func TestTakeoverWaitsForUnreachedWorker(t *testing.T) {
 	b := newHarness(t, 2, 2)
 	if err := b.core.RestoreJob(b.now, "old", oneTaskJob("old", nil), nil); err != nil {
@@ -99,19 +100,20 @@
 	b.core.AddJob(b.now, oneTaskJob("new", nil))
 	got := b.planOrders(sched.VerbStart)
 	if len(got) != 1 || got[0].Task.Job != "new" {
-		t.Fatalf("started %v, want the new job only", got)
+		t.Fatalf("starts %v, want the new job only", got)
 	}
 	b.poll("w1", sched.Report{Running: []sched.RunStatus{{Task: "old.0.0.0", Run: 1_000_001}}})
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Fatalf("started %v, though the task runs", got)
+		t.Fatalf("starts %v although the task runs", got)
 	}
 	b.poll("w1", sched.Report{Finished: []sched.FinishedRun{{Seq: 1, Task: "old.0.0.0", Run: 1_000_001, End: sched.EndDone}}})
 	b.storeChanges()
 	b.checkState("old", sched.StateCompleted)
 }
 
-// A holder takes over and polls a worker that runs a task and has as many ends to tell as a report takes. Its
-// running tasks were passed over, and as it had been reached, the task was started on another worker too.
+// A holder takes over and polls a worker that runs a task and has as many unacknowledged ends as a report holds. If the
+// runs in a full report were ignored while the worker counted as reached, the task would be started on another worker
+// too.
 func TestFullReportShowsRuns(t *testing.T) {
 	b := newHarness(t, 2, 2)
 	if err := b.core.RestoreJob(b.now, "old", oneTaskJob("old", nil), nil); err != nil {
@@ -125,12 +127,12 @@
 	}
 	b.poll("w1", rep)
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Errorf("started %v, though the task runs", got)
+		t.Errorf("starts %v although the task runs", got)
 	}
 }
 
-// The same, but the task has ended there: its end comes with a later report. Started meanwhile, it would run again
-// after its success.
+// The same with a task that has ended on the worker and whose end comes in a later report. A start before that report
+// would run the task again after its success.
 func TestFullReportDelaysStart(t *testing.T) {
 	b := newHarness(t, 2, 2)
 	if err := b.core.RestoreJob(b.now, "old", oneTaskJob("old", nil), nil); err != nil {
@@ -144,16 +146,16 @@
 	}
 	b.poll("w1", rep)
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Errorf("started %v with ends still to come", got)
+		t.Errorf("starts %v while ends are still to be reported", got)
 	}
 	b.poll("w1", sched.Report{Finished: []sched.FinishedRun{{Seq: 501, Task: "old.0.0.0", Run: 1_000_001, End: sched.EndDone}}})
 	b.storeChanges()
 	b.checkState("old", sched.StateCompleted)
 }
 
-// A feed's run fails on a worker that the new holder reaches, while another worker is out of reach
-// since before the change of holder. The holder has seen the run, so nothing else can run this
-// task: it is started again at once. It used to wait with all that was taken over.
+// A long-running task fails on a worker that the new holder reaches, while another worker has been out of reach since
+// before the takeover. The new holder has seen the run, so no other worker can run this task. It must be restarted at
+// once instead of being withheld with the other inherited tasks.
 func TestSeenRunIsRestartedAtOnce(t *testing.T) {
 	b := newHarness(t, 2, 2)
 	if err := b.core.RestoreJob(b.now, "old", oneTaskJob("old", func(j *sched.Job) { j.Steps[0].LongRunning = true }), nil); err != nil {
@@ -164,16 +166,17 @@
 	b.poll("w0", sched.Report{Running: []sched.RunStatus{{Task: "old.0.0.0", Run: 1_000_001}}})
 	b.poll("w0", sched.Report{Finished: []sched.FinishedRun{{Seq: 1, Task: "old.0.0.0", Run: 1_000_001, End: sched.EndFailed}}})
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 {
-		t.Errorf("started %v after its run had ended, want the task once", got)
+		t.Errorf("starts %v after the run has ended, want the task once", got)
 	}
 }
 
-// The store is lost to a holder, and another takes over; for some seconds the former one still acts. Both see a feed run
-// on a worker, which starts anew, and each starts the feed on a worker that the other doesn't
-// reach: it runs twice. What a new holder sees is the whole truth only once the former one has ceased to act.
+// Guards against a long-running task that runs twice. A holder loses the store and still acts for some seconds after
+// its successor has taken over. Both see the run on a worker, the worker restarts, and each holder starts the task on a
+// worker that the other does not reach. A run that a new holder sees is the only one only after the former holder has
+// stopped acting.
 func TestSeenRunWithTwoHolders(t *testing.T) {
 	const task, run = "old.0.0.0", 1_000_001
-	take := func(term int64, at time.Time) *harness {
+	takeOver := func(term int64, at time.Time) *harness {
 		b := &harness{t: t, now: at}
 		b.core = sched.New(sched.Options{WorkerLease: lease, MaxUnconfirmed: maxUnconfirmed, Term: term}, at)
 		b.core.ConfirmHolder(at)
@@ -184,7 +187,7 @@
 		b.core.UpdateDirectory(at, members(3))
 		return b
 	}
-	former, next := take(1, epoch()), take(2, epoch().Add(1300*time.Millisecond))
+	former, next := takeOver(1, epoch()), takeOver(2, epoch().Add(1300*time.Millisecond))
 	former.poll("w1", sched.Report{})
 	next.poll("w2", sched.Report{})
 	for _, b := range []*harness{former, next} {
@@ -196,12 +199,12 @@
 		started += len(b.planOrders(sched.VerbStart))
 	}
 	if started > 1 {
-		t.Errorf("%d holders start the task", started)
+		t.Errorf("%d holders start the task, want at most one", started)
 	}
 }
 
-// A worker has entered the directory and can't be reached yet as the holder changes. No former
-// holder can have given it anything, as its record doesn't name it: nothing waits for it.
+// A worker that has just entered the directory is out of reach when the holder changes. It is not tracked, so no former
+// holder can have started a run on it, and no task must be withheld for it.
 func TestNewWorkerDelaysNothing(t *testing.T) {
 	b := &harness{t: t, now: epoch()}
 	b.core = sched.New(sched.Options{WorkerLease: lease, MaxUnconfirmed: maxUnconfirmed, Term: 2}, b.now)
@@ -212,30 +215,30 @@
 	b.core.UpdateDirectory(b.now, members(2))
 	b.poll("w0", sched.Report{})
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 {
-		t.Errorf("started %v, want the task taken over", got)
+		t.Errorf("starts %v, want the inherited task", got)
 	}
 }
 
-// A worker has been out of reach for so long that its lease has lapsed, and then the holder changes. What
-// ran there has ended, so the successor has nothing to wait for there. It isn't told of that worker.
+// A worker has been out of reach for so long that its lease has expired before the holder changes. All of its runs have
+// ended, so it must not be tracked: the successor would withhold tasks for it without need.
 func TestExpiredWorkerIsNotTracked(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
 	b.core.PollFailed(b.now, "w1", 1)
 	b.advance(formerLeasesEnd + lease)
 	b.planOrders(sched.VerbStart)
 	if got := b.core.TrackedWorkers(); len(got) != 1 || got[0].ID != "w0" {
-		t.Errorf("handed on as workers that may hold runs: %v, want w0 only", got)
+		t.Errorf("tracked workers %v, want w0 only", got)
 	}
 	b.poll("w1", sched.Report{})
 	if got := b.core.TrackedWorkers(); len(got) != 2 {
-		t.Errorf("handed on once it is back: %v, want both", got)
+		t.Errorf("tracked workers %v once w1 is back, want both", got)
 	}
 	b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) { j.Steps[0].RequiredLabel = "w1" }))
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Errorf("started %v on a worker that the record doesn't name", got)
+		t.Errorf("starts %v on a worker that is not tracked", got)
 	}
 	b.core.MarkTracked(b.core.TrackedWorkers())
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 {
-		t.Errorf("started %v once the record names it, want the task", got)
+		t.Errorf("starts %v once the worker is tracked, want the task", got)
 	}
 }
