--- a/internal/batch/sched/unanswered_test.go
+++ b/internal/batch/sched/unanswered_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against a long wait of a task whose start was lost. The stop that precedes the next start waits only until a
-// poll sent after the time-out of the start shows that the run is absent, or for 2 s if no such poll is answered.
+// poll sent after the timeout of the start shows that the run is absent, or for 2 s if no such poll is answered.
 func TestLostStartIsStopped(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -42,10 +42,10 @@
 		most time.Duration // maximum delay of the stop after the start timed out
 	}{
 		{"no poll answered", func(*harness, time.Time, string) {}, 2 * time.Second},
-		{"poll sent before the time-out", func(b *harness, sent time.Time, id string) {
+		{"poll sent before the timeout", func(b *harness, sent time.Time, id string) {
 			b.core.HandleReport(sent, b.now, id, sched.Report{StartedAt: 1, Clock: b.now.Sub(epoch())})
 		}, 2 * time.Second},
-		{"poll sent after the time-out", func(b *harness, _ time.Time, id string) { b.poll(id, sched.Report{}) }, 400 * time.Millisecond},
+		{"poll sent after the timeout", func(b *harness, _ time.Time, id string) { b.poll(id, sched.Report{}) }, 400 * time.Millisecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newHarness(t, 1, 2).openWorkers()
