--- a/internal/batch/sched/feasible.go
+++ b/internal/batch/sched/feasible.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// cpuBucketWidth is the width of a bucket of workers by their free processors, in millicores.
+	// cpuBucketWidth is the width of the buckets in which workers are indexed by free CPU, in millicores.
 	cpuBucketWidth = 250
-	// maxScored bounds the workers that are scored for a step. Of more than that with room, a sample is scored.
+	// maxScored bounds the workers that are scored for a step. Of more than that with enough free CPU, a sample is scored.
 	maxScored = 512
-	// unusedWeight is the weight of the processors left beside what is decided first.
+	// unusedWeight is the weight of a worker's unused CPU in the score of a best-effort task, as a secondary criterion.
 	unusedWeight = 0.1
-	// advantageWeight is the weight of what a place is worth to other images beside the harm done there.
+	// advantageWeight is the weight of the advantage that interferenceOf returns against the expected violations.
 	advantageWeight = 0.5
-	// remoteRackPenalty and avoidCost lower the score of a worker in another rack than the task's data, and of the one on
-	// which the task failed or was slowed.
+	// remoteRackPenalty lowers the score of a worker in another rack than the task's data, and avoidPenalty that of the
+	// worker on which the task failed or was throttled.
 	remoteRackPenalty = 1
 	avoidPenalty      = 10
 )
 
-// workerIndex is a service's workers by their free processors.
+// workerIndex holds a service's workers by free CPU and by rack.
 type workerIndex struct {
-	byDeclared bucket.Index[*worker] // by what no task has declared
-	byUnused   bucket.Index[*worker] // by what is likely to be unused, for tasks that fill
-	byRack     map[string][]*worker
+	byDeclared bucket.Index[*worker] // by CPU that no task has declared
+	byUnused   bucket.Index[*worker] // by CPU expected to be unused, for best-effort tasks
+	byRack     map[string][]*worker  // by name of the rack
 }
 
-// attachRun enters a run into its worker's ledger.
+// attachRun adds a run to its worker and to the counts of its job.
 func (c *Core) attachRun(r *run) {
 	r.worker.addRun(r)
 	if r.starved {
@@ -42,7 +42,7 @@
 	c.markStale(r.worker)
 }
 
-// detachRun takes a run out of its worker's ledger.
+// detachRun removes a run from its worker and from the counts of its job.
 func (c *Core) detachRun(r *run) {
 	if r.worker.removeRun(r) && r.task != nil {
 		if r.starved {
@@ -53,7 +53,7 @@
 	c.markStale(r.worker)
 }
 
-// markStale notes that what was known of a worker's room is out of date.
+// markStale invalidates a worker's forecast and its index entry.
 func (c *Core) markStale(w *worker) {
 	w.forecast.valid = false
 	if !w.indexStale {
@@ -62,7 +62,7 @@
 	}
 }
 
-// refreshIndex brings rooms up to date.
+// refreshIndex recomputes the index entries of stale workers.
 func (c *Core) refreshIndex(now time.Time) {
 	for _, w := range c.staleWorkers {
 		w.indexStale = false
@@ -73,119 +73,123 @@
 	c.staleWorkers = c.staleWorkers[:0]
 }
 
+// indexWorker adds a worker to its service's index or updates its entry.
 func (c *Core) indexWorker(now time.Time, w *worker) {
 	if w.indexKey != nil && (w.indexKey.service != w.Service || w.indexKey.rack != w.Rack) {
 		c.unindexWorker(w)
 	}
-	r := c.workerIndexes[w.Service]
-	if r == nil {
-		r = &workerIndex{byRack: map[string][]*worker{}}
-		c.workerIndexes[w.Service] = r
+	index := c.workerIndexes[w.Service]
+	if index == nil {
+		index = &workerIndex{byRack: map[string][]*worker{}}
+		c.workerIndexes[w.Service] = index
 	}
 	if w.indexKey == nil {
 		w.indexKey = &indexKey{w.Service, w.Rack}
-		r.byRack[w.Rack] = append(r.byRack[w.Rack], w)
+		index.byRack[w.Rack] = append(index.byRack[w.Rack], w)
 	}
-	r.byDeclared.Set(w, w.free().CPU/cpuBucketWidth)
-	r.byUnused.Set(w, c.forecast(now, w).unused/cpuBucketWidth)
+	index.byDeclared.Set(w, w.free().CPU/cpuBucketWidth)
+	index.byUnused.Set(w, c.forecast(now, w).unused/cpuBucketWidth)
 }
 
-// unindexWorker takes a worker out of rooms.
+// unindexWorker removes a worker from its service's index.
 func (c *Core) unindexWorker(w *worker) {
 	if w.indexKey == nil {
 		return
 	}
-	r := c.workerIndexes[w.indexKey.service]
-	r.byDeclared.Remove(w)
-	r.byUnused.Remove(w)
-	in := r.byRack[w.indexKey.rack]
-	r.byRack[w.indexKey.rack] = slices.DeleteFunc(in, func(o *worker) bool { return o == w })
+	index := c.workerIndexes[w.indexKey.service]
+	index.byDeclared.Remove(w)
+	index.byUnused.Remove(w)
+	sameRack := index.byRack[w.indexKey.rack]
+	index.byRack[w.indexKey.rack] = slices.DeleteFunc(sameRack, func(other *worker) bool { return other == w })
 	w.indexKey = nil
 }
 
-// indexKey is under what a worker stands in rooms.
+// indexKey is the service and the rack under which a worker is indexed.
 type indexKey struct {
 	service string
 	rack    string
 }
 
-// feasibleWorkers are the workers on which a task of a step may run, with their scores; a higher one is better.
+// feasibleWorkers are the workers on which a task of a step may be placed.
 type feasibleWorkers struct {
-	stage   *stepInstance
+	step    *stepInstance
 	workers []*worker
-	scores  []float64
+	scores  []float64 // of each worker; a higher one is better
 }
 
-// findFeasible returns the choices for a step, of one rack unless rack is empty. They hold until the next call.
+// findFeasible returns the feasible workers for a step, of one rack unless rack is empty. The result is valid until the next
+// call, which reuses it.
 func (c *Core) findFeasible(now time.Time, s *stepInstance, rack string) *feasibleWorkers {
 	c.refreshIndex(now)
-	ch := &c.feasibleBuf
-	ch.stage, ch.workers, ch.scores = s, ch.workers[:0], ch.scores[:0]
-	r := c.workerIndexes[s.job.Service]
-	if r == nil {
-		return ch
+	f := &c.feasibleBuf
+	f.step, f.workers, f.scores = s, f.workers[:0], f.scores[:0]
+	index := c.workerIndexes[s.job.Service]
+	if index == nil {
+		return f
 	}
-	in, least := &r.byDeclared, s.spec.Size.CPU
+	byCPU, minCPU := &index.byDeclared, s.spec.Size.CPU
 	if s.spec.BestEffort {
-		in, least = &r.byUnused, int(minUnusedShare*float64(least))
+		byCPU, minCPU = &index.byUnused, int(minUnusedShare*float64(minCPU))
 		if s.starved {
-			least = 0
+			minCPU = 0
 		}
 	}
 	if rack != "" {
-		for _, w := range r.byRack[rack] {
-			c.addIfFeasible(now, ch, w, s)
+		for _, w := range index.byRack[rack] {
+			c.addIfFeasible(now, f, w, s)
 		}
-		return ch
+		return f
 	}
-	// A sample may miss the few workers beside the data.
-	near := s.spec.DataRack
-	if near != "" {
-		for _, w := range r.byRack[near] {
-			c.addIfFeasible(now, ch, w, s)
+	// A sample may miss the few workers byCPU the rack of the data.
+	dataRack := s.spec.DataRack
+	if dataRack != "" {
+		for _, w := range index.byRack[dataRack] {
+			c.addIfFeasible(now, f, w, s)
 		}
 	}
 	c.sampleCount++
-	for w := range in.Sample(least/cpuBucketWidth, maxScored, c.sampleCount) {
-		if near == "" || w.Rack != near {
-			c.addIfFeasible(now, ch, w, s)
+	for w := range byCPU.Sample(minCPU/cpuBucketWidth, maxScored, c.sampleCount) {
+		if dataRack == "" || w.Rack != dataRack {
+			c.addIfFeasible(now, f, w, s)
 		}
 	}
-	return ch
+	return f
 }
 
-func (c *Core) addIfFeasible(now time.Time, ch *feasibleWorkers, w *worker, s *stepInstance) {
+// addIfFeasible adds a worker with its score if a task of the step may be placed there.
+func (c *Core) addIfFeasible(now time.Time, f *feasibleWorkers, w *worker, s *stepInstance) {
 	if score, ok := c.placementScore(now, w, s); ok {
-		ch.workers = append(ch.workers, w)
-		ch.scores = append(ch.scores, score)
+		f.workers = append(f.workers, w)
+		f.scores = append(f.scores, score)
 	}
 }
 
-// rescore updates the i-th choice after a start there.
-func (c *Core) rescore(now time.Time, ch *feasibleWorkers, i int) {
-	score, ok := c.placementScore(now, ch.workers[i], ch.stage)
+// rescore updates the score of the i-th worker after a start there.
+func (c *Core) rescore(now time.Time, f *feasibleWorkers, i int) {
+	score, ok := c.placementScore(now, f.workers[i], f.step)
 	if !ok {
 		score = math.Inf(-1)
 	}
-	ch.scores[i] = score
+	f.scores[i] = score
 }
 
-// best returns the number of the choice that suits a task best, or -1 if there is none.
-func (ch *feasibleWorkers) best(t *task) int {
-	best, top := -1, math.Inf(-1)
-	for i, score := range ch.scores {
-		w := ch.workers[i]
+// best returns the index of the worker with the best score for a task, or -1 if there is none. Of equal scores, the lowest
+// worker id wins.
+func (f *feasibleWorkers) best(t *task) int {
+	best, bestScore := -1, math.Inf(-1)
+	for i, score := range f.scores {
+		w := f.workers[i]
 		if t.avoidWorker != "" && w.ID == t.avoidWorker {
 			score -= avoidPenalty
 		}
-		if score > top || score == top && best >= 0 && w.ID < ch.workers[best].ID {
-			best, top = i, score
+		if score > bestScore || score == bestScore && best >= 0 && w.ID < f.workers[best].ID {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
-// placementScore returns how well a step's tasks suit a worker, and whether one may be placed there now.
+// placementScore returns the score of a worker for a step's tasks, and whether one may be placed there now.
 func (c *Core) placementScore(now time.Time, w *worker, s *stepInstance) (float64, bool) {
 	if !w.eligible(now, s) || !w.respectsReservation(c.planNumber, s.spec) {
 		return 0, false
@@ -197,27 +201,28 @@
 	return score, ok
 }
 
-// eligible reports whether a step's tasks may be placed on a worker, if it has room.
+// eligible reports whether a step's tasks may be placed on a worker, resources aside.
 func (w *worker) eligible(now time.Time, s *stepInstance) bool {
 	return w.schedulable(now) && w.hasLabel(s.spec.RequiredLabel) && (s.spec.MaxPerWorker == 0 || w.taskCount(s) < s.spec.MaxPerWorker)
 }
 
-// resourceScore returns how well a step's tasks suit a worker, higher being better, and whether one fits.
+// resourceScore returns the score of a worker for a step's tasks by resources and interference, higher being better, and
+// whether one fits. It ignores reservations and other constraints.
 func (c *Core) resourceScore(now time.Time, w *worker, s *stepInstance) (float64, bool) {
 	free := w.free()
-	left := float64(c.forecast(now, w).unused)
-	whole := float64(max(w.Size.CPU, 1))
+	unused := float64(c.forecast(now, w).unused)
+	total := float64(max(w.Size.CPU, 1))
 	switch {
 	case s.spec.BestEffort:
 		if w.colocation.bestEffortBlocked || !c.fitsBestEffort(now, w, s) {
 			return 0, false
 		}
-		harm, advantage := c.interferenceOf(now, w, s.spec)
-		return unusedWeight*left/whole + advantageWeight*advantage - harm, harm <= maxExpectedViolations || s.starved
+		violations, advantage := c.interferenceOf(now, w, s.spec)
+		return unusedWeight*unused/total + advantageWeight*advantage - violations, violations <= maxExpectedViolations || s.starved
 	case !free.Covers(s.spec.Size):
 		return 0, false
 	case s.spec.LongRunning:
 		return c.affinity(w, s.spec.Image), true
 	}
-	return left / whole, true
+	return unused / total, true
 }
--- a/internal/batch/sched/feasible_test.go
+++ b/internal/batch/sched/feasible_test.go
@@ -6,7 +6,8 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// A worker that names no rack is taken for two, and gets more tasks of a step than may run on one.
+// Guards against counting a worker without a rack as two feasible workers: it would get more tasks of a step than
+// MaxPerWorker.
 func TestApartWithoutRack(t *testing.T) {
 	b := newHarness(t, 1, 1)
 	all := members(1)
--- a/internal/batch/sched/place.go
+++ b/internal/batch/sched/place.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// runNumbersPerTerm parts the run numbers of one holder's term from the next: no task is started
-	// so often within a term.
+	// runNumbersPerTerm is how many run numbers each holder's term has for itself: no task is started as often within
+	// a term.
 	runNumbersPerTerm = 1_000_000
-	// defaultUtilization is the share of their declared processors that lasting tasks are taken to use whose load doesn't show.
+	// defaultUtilization is the assumed share of their declared CPU that long-running tasks use whose load is not
+	// measured.
 	defaultUtilization = 0.6
-	// minUnusedShare is how much of a filling task's processors must be left for it to be placed.
+	// minUnusedShare is the share of a best-effort task's declared CPU that a worker must have unused for placing it.
 	minUnusedShare = 0.9
-	// usefulDeadlineFactor is how many times its aim a job may take for its end to be worth something to
-	// its caller.
+	// usefulDeadlineFactor times its relative deadline is how long a late job may take and still be useful to its
+	// caller.
 	usefulDeadlineFactor = 3
 )
 
-// placeWaiting starts what waits, as far as there is room.
+// placeWaiting appends the starts of waiting tasks, as far as workers have the resources and the start limiter allows.
 func (c *Core) placeWaiting(now time.Time, orders []Order) []Order {
 	if !c.mayStart(now) {
 		return orders
 	}
-	doubt := c.formerRunsPossible(now)
+	formerRuns := c.formerRunsPossible(now)
 	c.waitQueue.sort(now)
 	c.startLimiter.refresh(now)
 	c.planNumber++
@@ -35,7 +36,7 @@
 		if c.startLimiter.limited {
 			break
 		}
-		orders = c.placeStep(now, s, doubt && s.job.restored, orders)
+		orders = c.placeStep(now, s, formerRuns && s.job.restored, orders)
 		if s.pending == 0 {
 			c.recordPlaced(now, s)
 		}
@@ -43,9 +44,9 @@
 	return orders
 }
 
-// formerRunsPossible reports whether a former holder's orders may still live on workers that haven't
-// been reached: until then a task taken over may run there, or have ended there. Workers that the record
-// didn't name have got none: each is named there before the first start on it.
+// formerRunsPossible reports whether runs that a former holder started may exist on workers that haven't reported their
+// inventory to this holder: until they do, a task taken over may run there or have ended there. This concerns only
+// workers in the stored record that this holder took over, as a worker is recorded there before its first start.
 func (c *Core) formerRunsPossible(now time.Time) bool {
 	if !now.Before(c.formerLeasesEnd()) {
 		return false
@@ -58,30 +59,32 @@
 	return false
 }
 
-// placementClass is what, besides its size, decides whether a task fits somewhere.
+// placementClass is what decides, besides its size, on which workers a task may be placed.
 type placementClass struct {
 	bestEffort bool
 	starved    bool
-	image      string // of a task that fills: what it disturbs depends on it
-	label      string
-	service    string
+	image      string // of a best-effort task: its interference depends on it; empty for others
+	label      string // that the worker must have
+	service    string // whose workers run it
 }
 
+// placementClass returns the placement class of the step's tasks.
 func (s *stepInstance) placementClass() placementClass {
-	k := placementClass{bestEffort: s.spec.BestEffort, starved: s.starved, label: s.spec.RequiredLabel, service: s.job.Service}
-	if k.bestEffort {
-		k.image = s.spec.Image
+	class := placementClass{bestEffort: s.spec.BestEffort, starved: s.starved, label: s.spec.RequiredLabel, service: s.job.Service}
+	if class.bestEffort {
+		class.image = s.spec.Image
 	}
-	return k
+	return class
 }
 
-// infeasibleSizes are the sizes of a kind for which a plan has found no room: a task that is as large in everything needn't
-// be tried. With hundreds of steps waiting, this is what keeps planning cheap.
+// infeasibleSizes are the task sizes of a placement class for which a plan has found no worker. A task that is at least as
+// large in every dimension needn't be tried, which keeps planning cheap with hundreds of steps waiting.
 type infeasibleSizes struct {
 	plan  int // number of the plan that found them
 	sizes []wire.Size
 }
 
+// rulesOut reports whether the plan has found no worker for a task of the size z or a smaller one.
 func (m *infeasibleSizes) rulesOut(plan int, z wire.Size) bool {
 	if m.plan != plan {
 		return false
@@ -89,6 +92,7 @@
 	return slices.ContainsFunc(m.sizes, z.Covers)
 }
 
+// add records that the plan has found no worker for a task of the size z.
 func (m *infeasibleSizes) add(plan int, z wire.Size) {
 	if m.plan != plan {
 		m.plan, m.sizes = plan, m.sizes[:0]
@@ -96,76 +100,78 @@
 	m.sizes = append(m.sizes, z)
 }
 
-// infeasibleSizes returns the infeasibleSizes of a step's kind.
+// infeasibleSizes returns the infeasible sizes of a step's placement class.
 func (c *Core) infeasibleSizes(s *stepInstance) *infeasibleSizes {
 	if s.infeasible == nil {
-		k := s.placementClass()
-		if c.infeasibleByClass[k] == nil {
-			c.infeasibleByClass[k] = &infeasibleSizes{}
+		class := s.placementClass()
+		if c.infeasibleByClass[class] == nil {
+			c.infeasibleByClass[class] = &infeasibleSizes{}
 		}
-		s.infeasible = c.infeasibleByClass[k]
+		s.infeasible = c.infeasibleByClass[class]
 	}
 	return s.infeasible
 }
 
-// placeStep places the tasks of a stage; with doubt only those of which this holder has seen a run.
-func (c *Core) placeStep(now time.Time, s *stepInstance, doubt bool, orders []Order) []Order {
+// placeStep appends the starts of a step's pending tasks. If former runs are possible, it starts only tasks whose sole run
+// this holder has seen.
+func (c *Core) placeStep(now time.Time, s *stepInstance, formerRuns bool, orders []Order) []Order {
 	c.updateStarved(now, s)
-	full := c.infeasibleSizes(s)
-	if full.rulesOut(c.planNumber, s.spec.Size) {
-		c.handleUnplaced(now, s, doubt)
+	infeasible := c.infeasibleSizes(s)
+	if infeasible.rulesOut(c.planNumber, s.spec.Size) {
+		c.handleUnplaced(now, s, formerRuns)
 		return orders
 	}
 	if s.spec.Gang {
-		if doubt {
+		if formerRuns {
 			return orders
 		}
 		return c.placeGang(now, s, orders)
 	}
-	var ch *feasibleWorkers
+	var feasible *feasibleWorkers
 	for _, t := range s.tasks {
-		if t.done || t.run != nil || doubt && !t.soleRunSeen {
+		if t.done || t.run != nil || formerRuns && !t.soleRunSeen {
 			continue
 		}
 		if !c.startLimiter.allows(1) {
 			break
 		}
-		if ch == nil {
-			ch = c.findFeasible(now, s, "")
+		if feasible == nil {
+			feasible = c.findFeasible(now, s, "")
 		}
-		i := ch.best(t)
+		i := feasible.best(t)
 		if i < 0 {
-			c.handleUnplaced(now, s, doubt)
+			c.handleUnplaced(now, s, formerRuns)
 			if s.spec.LongRunning && !s.spec.BestEffort {
 				c.preemptStarved(now, s)
 			}
 			if s.spec.MaxPerWorker == 0 {
-				full.add(c.planNumber, s.spec.Size)
+				infeasible.add(c.planNumber, s.spec.Size)
 			}
 			break
 		}
-		orders = append(orders, c.startRun(now, t, ch.workers[i], t.nextRunNumber(c.opts.Term)))
+		orders = append(orders, c.startRun(now, t, feasible.workers[i], t.nextRunNumber(c.opts.Term)))
 		if s.starved {
-			// One task keeps the job going; the others wait for a place where they disturb nobody, and it is moved to no other.
+			// One running task is enough for the job to progress. The others wait for a worker without such interference;
+			// the started one isn't moved to another worker where it would interfere as well.
 			c.updateStarved(now, s)
 			if s.pending > 0 {
 				c.noteUnplacedStep(now, s)
 			}
 			break
 		}
-		c.rescore(now, ch, i)
+		c.rescore(now, feasible, i)
 	}
 	return orders
 }
 
-// handleUnplaced takes that a task of a stage has found no place.
-func (c *Core) handleUnplaced(now time.Time, s *stepInstance, doubt bool) {
+// handleUnplaced records that a task of a step found no worker, and reserves workers for a long-running step.
+func (c *Core) handleUnplaced(now time.Time, s *stepInstance, formerRuns bool) {
 	c.noteUnplacedStep(now, s)
 	if !s.spec.LongRunning || s.spec.Gang {
 		return
 	}
 	n := s.pending
-	if doubt {
+	if formerRuns {
 		n -= s.unseenTasks()
 	}
 	if n > 0 {
@@ -173,11 +179,12 @@
 	}
 }
 
-// placeGang starts all tasks of a gang or none, on one rack where that is faster.
+// placeGang appends the starts of all tasks of a gang or of none. A gang that is slower when spread is placed on one rack
+// if possible.
 func (c *Core) placeGang(now time.Time, s *stepInstance, orders []Order) []Order {
 	for _, t := range s.tasks {
 		if t.run != nil {
-			return orders // the rest of a former run has to end first
+			return orders // the remaining runs of the gang's former start have to end first
 		}
 	}
 	if !c.startLimiter.allows(len(s.tasks)) {
@@ -188,13 +195,15 @@
 		racks = append(c.rackNames(), "")
 	}
 	for _, rack := range racks {
-		if got, ok := c.tryPlaceGang(now, s, rack); ok {
-			return append(orders, got...)
+		if starts, ok := c.tryPlaceGang(now, s, rack); ok {
+			return append(orders, starts...)
 		}
 	}
 	return orders
 }
 
+// tryPlaceGang returns the starts of all tasks of a gang, on one rack unless rack is empty. If a task finds no worker, it
+// undoes the others' placements and returns false.
 func (c *Core) tryPlaceGang(now time.Time, s *stepInstance, rack string) ([]Order, bool) {
 	var number int64
 	for _, t := range s.tasks {
@@ -217,23 +226,26 @@
 	return orders, true
 }
 
+// rackNames returns the racks of all workers, sorted.
 func (c *Core) rackNames() []string {
 	seen := map[string]bool{}
-	var all []string
+	var names []string
 	for _, w := range c.workersByID {
 		if !seen[w.Rack] {
 			seen[w.Rack] = true
-			all = append(all, w.Rack)
+			names = append(names, w.Rack)
 		}
 	}
-	sort.Strings(all)
-	return all
+	sort.Strings(names)
+	return names
 }
 
+// nextRunNumber returns the number of the task's next run, which is above all numbers of former terms.
 func (t *task) nextRunNumber(term int64) int64 {
 	return max(t.lastRunNumber, term*runNumbersPerTerm) + 1
 }
 
+// startRun enters a new run of a task on a worker and returns the order that starts it.
 func (c *Core) startRun(now time.Time, t *task, w *worker, number int64) Order {
 	r := &run{runKey: runKey{t.id(), number}, task: t, worker: w, state: RunSent, incarnation: w.StartedAt, orderedAt: now, startedAt: now, cpuLimit: fullCPULimit, wantedCPULimit: fullCPULimit,
 		starved: t.step.starved}
@@ -254,28 +266,30 @@
 	return o
 }
 
-// bestWorker returns the worker that suits a task best, or nil.
+// bestWorker returns the worker with the best score for a task, of one rack unless rack is empty, or nil if none is
+// feasible.
 func (c *Core) bestWorker(now time.Time, t *task, rack string) *worker {
-	ch := c.findFeasible(now, t.step, rack)
-	if i := ch.best(t); i >= 0 {
-		return ch.workers[i]
+	feasible := c.findFeasible(now, t.step, rack)
+	if i := feasible.best(t); i >= 0 {
+		return feasible.workers[i]
 	}
 	return nil
 }
 
-// fitsBestEffort reports whether a worker has room for a filling task of a stage.
+// fitsBestEffort reports whether a worker has the resources for a best-effort task of a step. A starved task needs no unused
+// CPU.
 func (c *Core) fitsBestEffort(now time.Time, w *worker, s *stepInstance) bool {
-	z, free := s.spec.Size, w.free()
-	return z.Mem <= free.Mem && z.Accel <= free.Accel && (s.starved || float64(c.forecast(now, w).unused) >= minUnusedShare*float64(z.CPU))
+	size, free := s.spec.Size, w.free()
+	return size.Mem <= free.Mem && size.Accel <= free.Accel && (s.starved || float64(c.forecast(now, w).unused) >= minUnusedShare*float64(size.CPU))
 }
 
-// affinity prefers the worker that is fullest of the image, so that others stay free of serving
-// tasks for filling images that disturb them all, and, where images have to share a worker,
-// ones that the same filling images disturb.
+// affinity returns how similar a worker's long-running tasks are to an image in their sensitivity to best-effort images, from
+// -1 to 1, weighted by declared CPU. Tasks of the same image count 1, others by their dissimilarity from 0 to -1.
 //
-// It is how much a serving task of an image is among its like on the worker, from -1 to
-// 1. Images differ in which filling images disturb them: with one serving image on a
-// worker, most filling images find workers where they disturb nobody.
+// Placing by affinity gathers an image on few workers. Others stay free of latency-critical tasks, for best-effort images
+// that interfere with all of them; and images that have to share a worker are ones with which the same best-effort images
+// interfere. As latency-critical images differ in this, with one image per worker most best-effort images find workers
+// without interference.
 func (c *Core) affinity(w *worker, image string) float64 {
 	sum := 0.0
 	for _, r := range w.runList {
@@ -283,15 +297,16 @@
 			continue
 		}
 		s := r.task.step.spec
-		like := 1.0
+		similarity := 1.0
 		if s.Image != image {
-			like = -c.interference.Dissimilarity(s.Image, image)
+			similarity = -c.interference.Dissimilarity(s.Image, image)
 		}
-		sum += like * float64(s.Size.CPU)
+		sum += similarity * float64(s.Size.CPU)
 	}
 	return sum / float64(max(w.Size.CPU, 1))
 }
 
+// taskCount returns the number of a step's runs on the worker.
 func (w *worker) taskCount(s *stepInstance) int {
 	n := 0
 	for _, r := range w.runList {
--- a/internal/batch/sched/plan.go
+++ b/internal/batch/sched/plan.go
@@ -9,44 +9,45 @@
 
 // The verbs of an order.
 const (
-	VerbStart    Verb = "start"
-	VerbStop     Verb = "stop"
-	VerbThrottle Verb = "pace"
+	VerbStart    Verb = "start" // start a run
+	VerbStop     Verb = "stop"  // stop a run
+	VerbThrottle Verb = "pace"  // set the CPU limit of a best-effort run
 )
 
-// Order is a command to a worker.
+// Order is a command to a worker about one run.
 type Order struct {
 	Verb        Verb
-	Incarnation Incarnation
-	Addr        string
-	Task        TaskID
-	Run         int64
-	Spec        string        // of a start
-	Checkpoint  string        // of a start: the checkpoint to resume from
-	LeaseUntil  time.Duration // of a start: lease to grant, on the worker's clock
-	CPULimit    int           // of a pace, percent
-	// Starved tells of a start that its job had nothing running, and that the task may disturb serving ones.
+	Incarnation Incarnation   // of the worker for which the order is meant
+	Addr        string        // of the worker
+	Task        TaskID        // task of the run
+	Run         int64         // number of the run
+	Spec        string        // of a start: the job's specification, passed on unchanged
+	Checkpoint  string        // of a start: checkpoint to resume from; empty: none
+	LeaseUntil  time.Duration // of a start: end of the lease to grant, on the worker's clock
+	CPULimit    int           // of a throttle: percent of the declared CPU
+	// Starved is set for a start of a starved job's task: its job had nothing running, and the task may interfere with
+	// latency-critical ones.
 	Starved bool
 }
 
-// Outcome is how a worker took an order.
+// Outcome is the result of an order.
 type Outcome string
 
 // The outcomes of an order.
 const (
-	OutcomeDone             Outcome = "done"
-	OutcomeUnknown          Outcome = "unknown" // no answer; it may be carried out, also later
-	OutcomeUnsent           Outcome = "unsent"  // it never left
-	OutcomeRunEnded         Outcome = "old"     // that run ended there before
-	OutcomeExpired          Outcome = "late"    // its time had passed
-	OutcomeNoResources      Outcome = "room"    // it doesn't fit
+	OutcomeDone             Outcome = "done"    // carried out
+	OutcomeUnknown          Outcome = "unknown" // no answer; the worker may carry it out, also later
+	OutcomeUnsent           Outcome = "unsent"  // it was not sent
+	OutcomeRunEnded         Outcome = "old"     // the run has already ended on that worker
+	OutcomeExpired          Outcome = "late"    // it arrived after the lease of the start had expired
+	OutcomeNoResources      Outcome = "room"    // the worker lacks the resources for the task
 	OutcomeFenced           Outcome = "fence"   // a newer holder has fenced the worker
-	OutcomeUnavailable      Outcome = "sick"    // the worker takes nothing at present
-	OutcomeOtherIncarnation Outcome = "gone"    // another life answers at that address
-	OutcomeInvalid          Outcome = "bad"     // the order makes no sense to the worker
+	OutcomeUnavailable      Outcome = "sick"    // the worker accepts no tasks at present
+	OutcomeOtherIncarnation Outcome = "gone"    // another incarnation answers at the address
+	OutcomeInvalid          Outcome = "bad"     // the worker rejects the order as invalid
 )
 
-// Plan returns the orders that follow from what has been heard.
+// Plan returns the orders that follow from the jobs and the workers' reports so far.
 func (c *Core) Plan(now time.Time) []Order {
 	c.expireLeases(now)
 	c.addDueOccurrences(now)
@@ -55,18 +56,18 @@
 	return c.placeWaiting(now, orders)
 }
 
-// addDueOccurrences adds the occurrences that have become due.
+// addDueOccurrences adds the occurrences of recurring jobs that are due.
 func (c *Core) addDueOccurrences(now time.Time) {
-	rest := c.recurring[:0]
+	remaining := c.recurring[:0]
 	for _, j := range c.recurring {
 		if !j.state.Final() && c.addDueOccurrencesOf(now, j) {
-			rest = append(rest, j)
+			remaining = append(remaining, j)
 		}
 	}
-	c.recurring = rest
+	c.recurring = remaining
 }
 
-// planStopsAndThrottles orders stops and paces.
+// planStopsAndThrottles appends the orders that stop or throttle runs on workers in contact.
 func (c *Core) planStopsAndThrottles(now time.Time, orders []Order) []Order {
 	for _, w := range c.workersByID {
 		if w.contact != ContactGood {
@@ -90,21 +91,23 @@
 	return orders
 }
 
-// stopDue reports whether a run is to be stopped.
+// stopDue reports whether a stop is to be sent for a run.
 //
-// One whose start went unanswered is left for a poll to tell of, for a while. It may well run: a busy holder gets many
-// answers too late. Stopped at once, good runs were begun anew, with more orders from the same holder.
+// A run whose start was not answered is not stopped at once: for a while, a poll may report it. It often runs, as an
+// overloaded holder receives many answers too late. Stopping it at once would restart healthy runs and add orders to an
+// already overloaded holder.
 func (r *run) stopDue(now time.Time) bool {
-	since := now.Sub(r.orderedAt)
+	sinceOrder := now.Sub(r.orderedAt)
 	switch r.state {
 	case RunStopping:
-		return since > stopDelay
+		return sinceOrder > stopDelay
 	case RunUnknown:
-		return since > maxUnsure || r.absent && since > stopDelay
+		return sinceOrder > maxUnsure || r.absent && sinceOrder > stopDelay
 	}
 	return false
 }
 
+// newOrder returns an order about the run, without the fields that depend on the verb.
 func (r *run) newOrder(v Verb) Order {
 	return Order{Verb: v, Incarnation: r.worker.Incarnation, Addr: r.worker.Addr, Task: r.runKey.task, Run: r.run}
 }
