--- a/internal/batch/sched/colocation.go
+++ b/internal/batch/sched/colocation.go
@@ -6,51 +6,53 @@
 	"bramleysail.example/bramleysail/internal/batch/interf"
 )
 
-// colocation is what is known of a worker on which tasks that fill run beside tasks that serve.
+// colocation is the state of a worker on which best-effort tasks run beside latency-critical ones.
 type colocation struct {
-	lastMeasurement   time.Time // of the last reading that was used
-	bestEffortActive  time.Time // when a filling task was last at work
-	bestEffortBlocked bool      // a serving task is over its target for long: nothing more that fills
+	lastMeasurement   time.Time // when the last measurements that were used arrived
+	bestEffortActive  time.Time // when a best-effort task was last known to be active
+	bestEffortBlocked bool      // no more best-effort tasks are placed: a latency-critical one has long been over its target
 }
 
 const (
-	// usageTolerance is the share of a filling task's size by which a reading of its use may be off.
+	// usageTolerance is the share of a best-effort task's declared CPU by which a measurement of its use may be off.
 	usageTolerance = 0.2
-	// minMeasurementInterval is the least time between two readings that are used: each covers half a second.
+	// minMeasurementInterval is the least time between two measurements that are used, as each covers half a second.
 	minMeasurementInterval = 450 * time.Millisecond
-	// overTargetEnter and overEnds are the shares of a target above which a serving task counts as
-	// over and below which it no longer does.
+	// overTargetEnter and overTargetLeave are the shares of its target above which the tail latency of a
+	// latency-critical task counts as over target, and below which it no longer does (hysteresis).
 	overTargetEnter = 0.9
 	overTargetLeave = 0.75
-	// maxMeasurementGap is how long ago at most the reading before counts.
+	// maxMeasurementGap bounds how far back the previous measurement is taken to be.
 	maxMeasurementGap = time.Second
-	// measurementDelay is the time that a measurementDelay covers, and its way here.
+	// measurementDelay is the time that a measurement covers plus the time until it arrives here.
 	measurementDelay = 700 * time.Millisecond
 )
 
-// colocated reports whether filling tasks run beside serving ones.
+// colocated reports whether best-effort tasks run beside long-running ones.
 func (w *worker) colocated() bool {
 	return w.bestEffortCPU > 0 && w.longRunning.CPU > 0
 }
 
-// latencyCritical reports whether a run is one with a tail to keep.
+// latencyCritical reports whether a run is of a long-running task with a target for its tail latency.
 func (r *run) latencyCritical() bool {
 	return r.task != nil && r.task.step.spec.TailTarget > 0 && r.task.step.spec.LongRunning
 }
 
+// bestEffort reports whether a run is of a best-effort task.
 func (r *run) bestEffort() bool {
 	return r.task != nil && r.task.step.spec.BestEffort
 }
 
-// processMeasurements learns from a worker's reading and sets the paces of its filling tasks.
+// processMeasurements learns interference from the measurements in a worker's report, updates which latency-critical runs are
+// over target, and sets the CPU limits of the best-effort ones.
 func (c *Core) processMeasurements(now time.Time, w *worker) {
 	if now.Sub(w.colocation.lastMeasurement) < minMeasurementInterval {
 		return
 	}
-	before := w.colocation.lastMeasurement
+	previous := w.colocation.lastMeasurement
 	w.colocation.lastMeasurement = now
 	c.markStale(w)
-	use := w.bestEffortUsage()
+	usage := w.bestEffortUsage()
 	if w.bestEffortActive() {
 		w.colocation.bestEffortActive = now
 	}
@@ -59,10 +61,10 @@
 		if !r.latencyCritical() || r.state != RunLive {
 			continue
 		}
-		if st := r.task.step; r.ready {
-			c.interference.Observe(c.modelTime(now), c.loadOf(st), st.spec.Image, r.tailLatency, st.spec.TailTarget, use)
+		if step := r.task.step; r.ready {
+			c.interference.Observe(c.modelTime(now), c.loadOf(step), step.spec.Image, r.tailLatency, step.spec.TailTarget, usage)
 		}
-		r.updateOverTarget(now, latest(before, now.Add(-maxMeasurementGap)), w.colocation.bestEffortActive)
+		r.updateOverTarget(now, latest(previous, now.Add(-maxMeasurementGap)), w.colocation.bestEffortActive)
 		if !r.overTargetSince.IsZero() && now.Sub(r.overTargetSince) >= throttleAfter {
 			w.colocation.bestEffortBlocked = true
 		}
@@ -70,25 +72,25 @@
 	c.updateCPULimits(now, w)
 }
 
-// updateOverTarget keeps since when a serving run has been over its target with filling tasks at work
-// beside it. It may have begun right after the reading before, at before: a updateOverTarget that began
-// with the reading that shows it stopped the filling tasks up to a second late. Readings are
-// rough: one below the target amid others above doesn't end it.
-func (r *run) updateOverTarget(now, before, busy time.Time) {
+// updateOverTarget updates since when a latency-critical run has been over its target with best-effort tasks active beside
+// it. That may have begun right after the previous measurement: counting from the one that shows it would stop the
+// best-effort tasks up to a second late. As measurements are noisy, a single one below the target among others above
+// doesn't end it.
+func (r *run) updateOverTarget(now, previous, bestEffortActive time.Time) {
 	target := float64(r.task.step.spec.TailTarget)
 	switch tail := float64(r.tailLatency); {
 	case tail < overTargetLeave*target:
 		r.overTargetSince = time.Time{}
 	case r.overTargetSince.IsZero() && tail < overTargetEnter*target:
-	case now.Sub(busy) > measurementDelay:
-		// With nothing that fills at work, it is over by its own load.
+	case now.Sub(bestEffortActive) > measurementDelay:
+		// No best-effort task is active, so the run is over its target by its own load.
 		r.overTargetSince = now
 	case r.overTargetSince.IsZero():
-		r.overTargetSince = before
+		r.overTargetSince = previous
 	}
 }
 
-// bestEffortActive reports whether a filling task is at work on the worker.
+// bestEffortActive reports whether a best-effort task is active on the worker. One whose state isn't known counts as active.
 func (w *worker) bestEffortActive() bool {
 	for _, r := range w.runList {
 		if r.bestEffort() && (r.cpuLimit > 0 || r.state != RunLive) {
@@ -98,17 +100,17 @@
 	return false
 }
 
-// exceedsCPULimit reports whether a filling run uses more than its pace allows. An earlier order for
-// its pace that wasn't answered may have been carried out after the newest.
+// exceedsCPULimit reports whether a best-effort run uses more CPU than its limit allows. The worker may have carried out an
+// earlier, unanswered throttle order after the newest one.
 func (r *run) exceedsCPULimit(now time.Time) bool {
 	if !r.bestEffort() || r.cpuLimit == unknownCPULimit || now.Sub(r.cpuLimitSetAt) < 2*measurementDelay {
 		return false
 	}
-	size := float64(r.task.step.spec.Size.CPU)
-	return r.cpuUsage > size*(float64(r.cpuLimit)/fullCPULimit+usageTolerance)
+	declared := float64(r.task.step.spec.Size.CPU)
+	return r.cpuUsage > declared*(float64(r.cpuLimit)/fullCPULimit+usageTolerance)
 }
 
-// overTarget reports whether a serving task of the worker counts as over its target.
+// overTarget reports whether a latency-critical task of the worker counts as over its target.
 func (w *worker) overTarget() bool {
 	for _, r := range w.runList {
 		if !r.overTargetSince.IsZero() && r.latencyCritical() {
@@ -118,13 +120,13 @@
 	return false
 }
 
-// bestEffortUsage returns what each filling image uses on the worker.
+// bestEffortUsage returns the share of the worker's CPU that each best-effort image uses.
 func (w *worker) bestEffortUsage() interf.CPUUsage {
-	var use interf.CPUUsage
+	var usage interf.CPUUsage
 	for _, r := range w.runList {
 		if r.bestEffort() && r.state == RunLive && r.cpuUsage > 0 {
-			use.Add(r.task.step.spec.Image, r.cpuUsage/float64(max(w.Size.CPU, 1)))
+			usage.Add(r.task.step.spec.Image, r.cpuUsage/float64(max(w.Size.CPU, 1)))
 		}
 	}
-	return use
+	return usage
 }
--- a/internal/batch/sched/forecast.go
+++ b/internal/batch/sched/forecast.go
@@ -7,70 +7,73 @@
 )
 
 const (
-	// maxExpectedViolations bounds the expected number of latency-critical tasks that a placement pushes over target.
+	// maxExpectedViolations bounds the expected number of latency-critical tasks that placing a best-effort task pushes
+	// over their targets.
 	maxExpectedViolations = 0.3
-	// placementHorizon is for how long, in seconds, a place has to suit a filling task, which stays
-	// there for some 2 s.
+	// placementHorizon is how far ahead, in seconds, a placement of a best-effort task has to be suitable: such a task
+	// runs for some 2 s.
 	placementHorizon = 2.0
 )
 
-// interferenceExposure is the pressure on a serving run of a worker.
+// interferenceExposure is the pressure on a latency-critical run and its sensitivity to best-effort images.
 type interferenceExposure struct {
-	factors     *interf.Factors
-	aboveTarget float64 // pressure less the one at its target
+	factors     *interf.Factors // of the best-effort images for the run's image
+	aboveTarget float64         // expected pressure less the pressure at the target
 }
 
-// forecast is what placing looks at on a worker; it is kept until a run comes, goes or is
-// read anew, or the loads have moved, as every waiting step asks for it.
+// forecast is the expected state of a worker by which tasks are placed. As every waiting step asks for it, it is cached until
+// a run is added or removed, new measurements arrive, or maxForecastAge has passed and the loads have changed.
 type forecast struct {
-	valid      bool
-	computedAt time.Time
-	unused     int // millicores likely to be unused
-	exposures  []interferenceExposure
+	valid      bool                   // not invalidated since it was computed
+	computedAt time.Time              // when it was computed
+	unused     int                    // millicores expected to be unused
+	exposures  []interferenceExposure // of each latency-critical run
 }
 
-// maxForecastAge is how long a forecast is kept. A load that swings within 10 s by half moves by
-// 0.03 meanwhile, half of a reading's noise.
+// maxForecastAge is how long a forecast is cached. A load that swings by half within 10 s changes by 0.03 meanwhile, half of
+// a measurement's noise.
 const maxForecastAge = 200 * time.Millisecond
 
+// forecast returns a worker's forecast, computing it if the cached one is out of date.
 func (c *Core) forecast(now time.Time, w *worker) *forecast {
-	o := &w.forecast
-	if o.valid && now.Sub(o.computedAt) < maxForecastAge {
-		return o
+	f := &w.forecast
+	if f.valid && now.Sub(f.computedAt) < maxForecastAge {
+		return f
 	}
-	o.valid, o.computedAt = true, now
-	o.exposures = o.exposures[:0]
-	fill, lasting := 0, 0.0
+	f.valid, f.computedAt = true, now
+	f.exposures = f.exposures[:0]
+	bestEffort, longRunning := 0, 0.0
 	for _, r := range w.runList {
 		if r.task != nil && r.task.step.spec.LongRunning {
-			lasting += c.expectedUtilization(now, r) * float64(r.task.step.spec.Size.CPU)
+			longRunning += c.expectedUtilization(now, r) * float64(r.task.step.spec.Size.CPU)
 		}
 		if r.bestEffort() && !r.starved {
-			fill += r.task.step.spec.Size.CPU * r.wantedCPULimit / fullCPULimit
+			bestEffort += r.task.step.spec.Size.CPU * r.wantedCPULimit / fullCPULimit
 		}
 		if r.latencyCritical() && r.state == RunLive {
-			o.exposures = append(o.exposures, interferenceExposure{c.interference.Factors(r.task.step.spec.Image), c.expectedPressure(now, w, r) - interf.TargetPressure})
+			f.exposures = append(f.exposures, interferenceExposure{c.interference.Factors(r.task.step.spec.Image), c.expectedPressure(now, w, r) - interf.TargetPressure})
 		}
 	}
-	o.unused = w.Size.CPU - int(lasting) - (w.allocated.CPU - w.longRunning.CPU) - fill
-	return o
+	f.unused = w.Size.CPU - int(longRunning) - (w.allocated.CPU - w.longRunning.CPU) - bestEffort
+	return f
 }
 
-// expectedPressure returns the pressure expected on a serving run while a task placed now would run.
+// expectedPressure returns the pressure expected on a latency-critical run while a task placed now would run: its load's
+// peak and the interference of the best-effort runs.
 func (c *Core) expectedPressure(now time.Time, w *worker, r *run) float64 {
-	f := c.interference.Factors(r.task.step.spec.Image)
+	factors := c.interference.Factors(r.task.step.spec.Image)
 	sum := c.peakLoad(now, r.task.step, placementHorizon)
-	for _, o := range w.runList {
-		if o.bestEffort() {
-			z := o.task.step.spec
-			sum += f.Factor(z.Image) * z.cpuShare(w) * float64(o.wantedCPULimit) / fullCPULimit
+	for _, other := range w.runList {
+		if other.bestEffort() {
+			spec := other.task.step.spec
+			sum += factors.Factor(spec.Image) * spec.cpuShare(w) * float64(other.wantedCPULimit) / fullCPULimit
 		}
 	}
 	return sum
 }
 
-// expectedUtilization returns the share of its declared processors that a lasting run is expected to expectedUtilization while a task placed now
-// would run: what its users' load makes of it, as far as that shows.
+// expectedUtilization returns the share of its declared CPU that a long-running run is expected to use while a task placed
+// now would run: its forecast load, or a default if its load isn't measured.
 func (c *Core) expectedUtilization(now time.Time, r *run) float64 {
 	if !r.latencyCritical() {
 		return defaultUtilization
@@ -78,33 +81,33 @@
 	return min(1, c.interference.ExpectedLoad(c.loadOf(r.task.step), c.modelTime(now)+placementHorizon/2))
 }
 
-// cpuShare returns the cpuShare of a worker's processors that a task of the step asks for.
+// cpuShare returns the share of a worker's CPU that a task of the step declares.
 func (s *Step) cpuShare(w *worker) float64 {
 	return float64(s.Size.CPU) / float64(max(w.Size.CPU, 1))
 }
 
-// interferenceOf returns what a further filling task of a step would do on a worker: the expected number of serving
-// runs that it would bring over their target, and how much less it disturbs them than filling images do on
-// average. Placing by this advantage leaves the workers on which nothing serves, and those whose serving tasks
-// bear more, to the images that have no other place.
-func (c *Core) interferenceOf(now time.Time, w *worker, s *Step) (harm, advantage float64) {
+// interferenceOf returns the interference of one more best-effort task of a step with the latency-critical runs on a worker:
+// the expected number of them that it pushes over their targets, and by how much its pressure on them is below that of the
+// average best-effort image. Placing by this advantage leaves the workers without latency-critical tasks, and those whose
+// latency-critical tasks are less sensitive, to the images that can be placed nowhere else.
+func (c *Core) interferenceOf(now time.Time, w *worker, s *Step) (violations, advantage float64) {
 	share := s.cpuShare(w)
-	for _, k := range c.forecast(now, w).exposures {
-		of, mean := k.factors.FactorAndMean(s.Image)
-		harm += interf.OverTargetRisk(k.aboveTarget+of*share) - interf.OverTargetRisk(k.aboveTarget)
-		advantage += mean - of
+	for _, exposure := range c.forecast(now, w).exposures {
+		factor, mean := exposure.factors.FactorAndMean(s.Image)
+		violations += interf.OverTargetRisk(exposure.aboveTarget+factor*share) - interf.OverTargetRisk(exposure.aboveTarget)
+		advantage += mean - factor
 	}
-	return harm, advantage * share
+	return violations, advantage * share
 }
 
-// modelTime returns a time as interf counts it: from the Unix epoch, so that a fit can be handed on
-// to another host, by the clock as it was when the term began. A clock that is set while this
-// process holds would shift every swing against the loads.
+// modelTime returns a time in the interference model's unit, seconds since the Unix epoch, so that a fitted load forecast can
+// be handed over to another host. It counts from the wall clock at the start of the term, as setting the clock during the
+// term would shift every forecast swing against the load.
 func (c *Core) modelTime(at time.Time) float64 {
 	return time.Duration(c.termStart.UnixNano()).Seconds() + at.Sub(c.termStart).Seconds()
 }
 
-// loadOf returns the load of a serving step.
+// loadOf returns the load forecast of a latency-critical step.
 func (c *Core) loadOf(s *stepInstance) *interf.LoadForecast {
 	if s.load == nil {
 		s.load = interf.NewLoadForecast(c.modelTime(s.releasedAt))
@@ -112,7 +115,7 @@
 	return s.load
 }
 
-// peakLoad returns the most load expected of a serving step within some seconds.
+// peakLoad returns the highest load expected of a latency-critical step within the next ahead seconds.
 func (c *Core) peakLoad(now time.Time, s *stepInstance, ahead float64) float64 {
 	return c.interference.PeakLoad(c.loadOf(s), c.modelTime(now), ahead)
 }
--- a/internal/batch/sched/reserve.go
+++ b/internal/batch/sched/reserve.go
@@ -8,28 +8,30 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// maxReserveScans bounds the workers for which a plan finds out when they will have room.
+// maxReserveScans bounds the workers for which a plan estimates when a waiting long-running task will fit.
 const maxReserveScans = 1024
 
-// reservation is room on a worker that a plan keeps for a lasting task which waits for tasks there to end.
+// reservation is resources on a worker that a plan reserves for a long-running task, which waits for other tasks there to
+// end.
 type reservation struct {
-	plan int // number of the plan; in any other it means nothing
-	size wire.Size
+	plan int       // number of the plan; the reservation holds in this plan only
+	size wire.Size // of the long-running task
 }
 
-// reserveCandidate is a worker with how long it is expected to take until it has room.
+// reserveCandidate is a worker on which resources may be reserved.
 type reserveCandidate struct {
 	worker *worker
-	freeIn time.Duration
+	freeIn time.Duration // expected time until the task fits there
 }
 
-// reserveWorkers keeps room for n tasks of a lasting step that have found no place, where tasks that end are in their way. What
-// comes after the step in this plan leaves it free.
+// reserveWorkers reserves resources for n tasks of a long-running step that found no worker, each on a worker where it will
+// fit once tasks that aren't long-running have ended; it prefers the workers where that is soonest. Steps that are placed
+// later in the same plan leave the reserved resources free.
 //
-// The failure it guards against: smaller tasks take each bit of room that is freed, and on no worker is there ever enough
-// for a large one, though its like leave room for it.
+// The failure it guards against: smaller tasks take the resources that are freed bit by bit, so that no worker ever has
+// enough for a large task, although the long-running tasks would leave enough for it.
 func (c *Core) reserveWorkers(now time.Time, s *stepInstance, n int) {
-	all := c.candidateBuf[:0]
+	candidates := c.candidateBuf[:0]
 	for _, w := range c.workersByID {
 		if c.reserveScans >= maxReserveScans {
 			break
@@ -38,20 +40,20 @@
 			continue
 		}
 		c.reserveScans++
-		if rest, ok := c.fitsIn(now, w, s.spec.Size); ok {
-			all = append(all, reserveCandidate{w, rest})
+		if freeIn, ok := c.fitsIn(now, w, s.spec.Size); ok {
+			candidates = append(candidates, reserveCandidate{w, freeIn})
 		}
 	}
-	c.candidateBuf = all
-	slices.SortStableFunc(all, func(a, b reserveCandidate) int { return cmp.Compare(a.freeIn, b.freeIn) })
-	for _, k := range all[:min(n, len(all))] {
-		k.worker.reserved = reservation{c.planNumber, s.spec.Size}
+	c.candidateBuf = candidates
+	slices.SortStableFunc(candidates, func(a, b reserveCandidate) int { return cmp.Compare(a.freeIn, b.freeIn) })
+	for _, candidate := range candidates[:min(n, len(candidates))] {
+		candidate.worker.reserved = reservation{c.planNumber, s.spec.Size}
 	}
 }
 
-// fitsIn returns how long it is expected to take until enough of a worker's tasks have ended for it to have room, and
-// whether it will have.
-func (c *Core) fitsIn(now time.Time, w *worker, z wire.Size) (time.Duration, bool) {
+// fitsIn returns the expected time until enough of a worker's tasks have ended for a size to fit, and whether it will fit at
+// all beside the long-running tasks.
+func (c *Core) fitsIn(now time.Time, w *worker, size wire.Size) (time.Duration, bool) {
 	ends := c.expectedEndBuf[:0]
 	for _, r := range w.runList {
 		if r.task != nil && !r.task.step.spec.LongRunning {
@@ -67,34 +69,35 @@
 		if !e.step.BestEffort {
 			free.CPU += e.step.Size.CPU
 		}
-		if free.Covers(z) {
+		if free.Covers(size) {
 			return e.remaining, true
 		}
 	}
 	return 0, false
 }
 
-// expectedEnd is how long a run of a step is expected to go on.
+// expectedEnd is when a run is expected to end.
 type expectedEnd struct {
-	step      *Step
-	remaining time.Duration
+	step      *Step         // of the run
+	remaining time.Duration // until the run ends
 }
 
-// remaining returns how long a run is expected to go on. One that takes longer than expected is taken to go on for as long
-// again as it is late.
+// remaining returns the expected remaining time of a run. A run that exceeds its expected duration is assumed to need as much
+// time again as it is late.
 func (c *Core) remaining(now time.Time, r *run) time.Duration {
 	s := r.task.step
 	return (c.estimator.estimate(s.job.Queue, s.spec.Estimate) - now.Sub(r.startedAt)).Abs()
 }
 
-// respectsReservation reports whether a task of a step leaves free what a plan keeps on a worker.
+// respectsReservation reports whether placing a task of a step leaves the resources free that the plan has reserved on the
+// worker.
 func (w *worker) respectsReservation(plan int, s *Step) bool {
 	if w.reserved.plan != plan {
 		return true
 	}
-	left, kept := w.free().Minus(s.Size), w.reserved.size
+	left, reserved := w.free().Minus(s.Size), w.reserved.size
 	if s.BestEffort {
-		left.CPU = kept.CPU // it has only what others leave
+		left.CPU = reserved.CPU // a best-effort task uses only CPU that others leave unused
 	}
-	return left.Covers(kept)
+	return left.Covers(reserved)
 }
--- a/internal/batch/sched/throttle.go
+++ b/internal/batch/sched/throttle.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	// fullCPULimit is the pace of a task that is not slowed, in percent.
+	// fullCPULimit is the CPU limit of a task that isn't throttled, in percent of its declared CPU.
 	fullCPULimit = 100
-	// unknownCPULimit has a pace ordered anew.
+	// unknownCPULimit stands for a CPU limit in force that isn't known, so that the wanted one is sent again.
 	unknownCPULimit = -1
-	// latencyCriticalWeight is how many seconds of a filling task a second of a serving one is worth. A job is as late as the last
-	// of its tasks, so slowing one costs more than its own time.
+	// latencyCriticalWeight is how many seconds of a best-effort task one second of a latency-critical one is worth. A job
+	// is as late as the last of its tasks, so throttling one costs more than its own time.
 	latencyCriticalWeight = 1.5
-	// throttleHorizon is until when, in seconds, a pace has to suit: it is set anew with the next poll.
+	// throttleHorizon is how far ahead, in seconds, a CPU limit has to be suitable: the next poll sets it again.
 	throttleHorizon = 1.0
-	// cpuLimitStep is the most that a pace is raised at a time, in percent; it is lowered at once.
+	// cpuLimitStep is the most by which a CPU limit is raised at a time, in percent; it is lowered at once.
 	cpuLimitStep = 25
-	// throttleAfter and overLong are how long a serving task may be over its target before the
-	// filling tasks beside it that disturb it at all are slowed and, then, all of them stand
-	// still, whatever the model says.
+	// throttleAfter is how long a latency-critical task may be over its target before the best-effort tasks that
+	// interfere with it at all are throttled to overTargetCPULimit, and pauseAfter before all best-effort tasks beside
+	// it are paused, whatever the model expects.
 	throttleAfter      = 1700 * time.Millisecond
 	pauseAfter         = 2 * time.Second
 	overTargetCPULimit = 20
-	// minInterference is the pressure from which a filling task is slowed for a serving one that is
-	// over its target: below, it would be slowed for the load's own peaks.
+	// minInterference is the pressure from which a best-effort task is throttled for a latency-critical one that is over
+	// its target. With less, it would be throttled for peaks of the load itself.
 	minInterference = 0.03
 )
 
-// updateCPULimits sets the paces of a worker's filling tasks: those that are worth most to the users, and,
-// whatever the model says, lower ones beside a serving task that has been over its target.
+// updateCPULimits sets the wanted CPU limits of a worker's best-effort tasks: by the model those that are worth most to the
+// users and, whatever the model expects, lower ones beside a latency-critical task that has been over its target.
 func (c *Core) updateCPULimits(now time.Time, w *worker) {
-	fills := w.bestEffortRuns()
-	if len(fills) == 0 {
+	runs := w.bestEffortRuns()
+	if len(runs) == 0 {
 		return
 	}
-	b := c.newTradeoff(now, w, fills)
-	b.lowerLimits()
-	for _, s := range w.runList {
-		if s.latencyCritical() && s.state == RunLive && !s.overTargetSince.IsZero() {
-			c.capCPULimits(now, w, s, fills, b.limits)
+	tradeoff := c.newTradeoff(now, w, runs)
+	tradeoff.lowerLimits()
+	for _, critical := range w.runList {
+		if critical.latencyCritical() && critical.state == RunLive && !critical.overTargetSince.IsZero() {
+			c.capCPULimits(now, w, critical, runs, tradeoff.limits)
 		}
 	}
-	for i, r := range fills {
-		r.wantedCPULimit = min(b.limits[i], r.wantedCPULimit+cpuLimitStep)
+	for i, r := range runs {
+		r.wantedCPULimit = min(tradeoff.limits[i], r.wantedCPULimit+cpuLimitStep)
 		switch {
 		case r.wantedCPULimit >= minKeepCPULimit:
 			r.throttledSince = time.Time{}
@@ -55,63 +55,63 @@
 	}
 }
 
-// capCPULimits bounds the paces beside a serving task that has been over its target.
-func (c *Core) capCPULimits(now time.Time, w *worker, s *run, fills []*run, paces []int) {
-	most := fullCPULimit
-	switch d := now.Sub(s.overTargetSince); {
-	case d >= pauseAfter:
-		most = 0
-	case d >= throttleAfter:
-		most = overTargetCPULimit
+// capCPULimits caps the limits of the best-effort runs beside a latency-critical one that has been over its target.
+func (c *Core) capCPULimits(now time.Time, w *worker, critical *run, runs []*run, limits []int) {
+	maxLimit := fullCPULimit
+	switch overFor := now.Sub(critical.overTargetSince); {
+	case overFor >= pauseAfter:
+		maxLimit = 0
+	case overFor >= throttleAfter:
+		maxLimit = overTargetCPULimit
 	}
-	f := c.interference.Factors(s.task.step.spec.Image)
-	for i, r := range fills {
-		z := r.task.step.spec
-		if most == 0 || f.Factor(z.Image)*z.cpuShare(w) > minInterference {
-			paces[i] = min(paces[i], most)
+	factors := c.interference.Factors(critical.task.step.spec.Image)
+	for i, r := range runs {
+		spec := r.task.step.spec
+		if maxLimit == 0 || factors.Factor(spec.Image)*spec.cpuShare(w) > minInterference {
+			limits[i] = min(limits[i], maxLimit)
 		}
 	}
 }
 
-// throttleTradeoff weighs the paces of a worker's filling tasks against the pressure on its serving ones.
+// throttleTradeoff weighs the CPU limits of a worker's best-effort runs against the pressure on its latency-critical ones.
 type throttleTradeoff struct {
-	limits      []int       // of each filling task, percent
-	added       [][]float64 // pressure on each serving task by each filling one at full pace
-	aboveTarget []float64   // of each serving task: pressure with these paces less the one at its target
+	limits      []int       // CPU limit of each best-effort run, percent
+	added       [][]float64 // pressure on each latency-critical run by each best-effort one if not throttled
+	aboveTarget []float64   // of each latency-critical run: pressure with these limits less the pressure at its target
 }
 
-// newTradeoff returns the balance of a worker with all paces full.
-func (c *Core) newTradeoff(now time.Time, w *worker, fills []*run) *throttleTradeoff {
-	b := &throttleTradeoff{limits: make([]int, len(fills))}
+// newTradeoff returns the trade-off of a worker with no best-effort run throttled.
+func (c *Core) newTradeoff(now time.Time, w *worker, runs []*run) *throttleTradeoff {
+	b := &throttleTradeoff{limits: make([]int, len(runs))}
 	for i := range b.limits {
 		b.limits[i] = fullCPULimit
 	}
-	for _, s := range w.runList {
-		if !s.latencyCritical() || s.state != RunLive {
+	for _, critical := range w.runList {
+		if !critical.latencyCritical() || critical.state != RunLive {
 			continue
 		}
-		f := c.interference.Factors(s.task.step.spec.Image)
-		above := c.peakLoad(now, s.task.step, throttleHorizon) - interf.TargetPressure
-		adds := make([]float64, len(fills))
-		for i, r := range fills {
-			z := r.task.step.spec
-			adds[i] = f.Factor(z.Image) * z.cpuShare(w)
-			above += adds[i]
+		factors := c.interference.Factors(critical.task.step.spec.Image)
+		aboveTarget := c.peakLoad(now, critical.task.step, throttleHorizon) - interf.TargetPressure
+		added := make([]float64, len(runs))
+		for i, r := range runs {
+			spec := r.task.step.spec
+			added[i] = factors.Factor(spec.Image) * spec.cpuShare(w)
+			aboveTarget += added[i]
 		}
-		b.added = append(b.added, adds)
-		b.aboveTarget = append(b.aboveTarget, above)
+		b.added = append(b.added, added)
+		b.aboveTarget = append(b.aboveTarget, aboveTarget)
 	}
 	return b
 }
 
-// lowerLimits lowers the pace whose lowering gains most, until none gains.
+// lowerLimits repeatedly lowers the limit whose lowering gains most, until none gains anything.
 func (b *throttleTradeoff) lowerLimits() {
 	for {
-		best, to, most := -1, 0, 0.0
-		for i, pace := range b.limits {
-			for p := 0; p < pace; p += cpuLimitStep {
-				if g := b.gain(i, p); g > most {
-					best, to, most = i, p, g
+		best, bestLimit, bestGain := -1, 0, 0.0
+		for i, limit := range b.limits {
+			for lower := 0; lower < limit; lower += cpuLimitStep {
+				if gain := b.gain(i, lower); gain > bestGain {
+					best, bestLimit, bestGain = i, lower, gain
 				}
 			}
 		}
@@ -119,35 +119,35 @@
 			return
 		}
 		for k := range b.aboveTarget {
-			b.aboveTarget[k] += b.added[k][best] * float64(to-b.limits[best]) / fullCPULimit
+			b.aboveTarget[k] += b.added[k][best] * float64(bestLimit-b.limits[best]) / fullCPULimit
 		}
-		b.limits[best] = to
+		b.limits[best] = bestLimit
 	}
 }
 
-// gain returns what lowering a filling task's pace gains, in seconds of filling tasks.
-func (b *throttleTradeoff) gain(i, pace int) float64 {
-	part := float64(b.limits[i]-pace) / fullCPULimit
-	sum := -part
-	for k, x := range b.aboveTarget {
-		sum += latencyCriticalWeight * (interf.OverTargetRisk(x) - interf.OverTargetRisk(x-part*b.added[k][i]))
+// gain returns what lowering the limit of the i-th best-effort run gains, in seconds of best-effort tasks.
+func (b *throttleTradeoff) gain(i, limit int) float64 {
+	reduction := float64(b.limits[i]-limit) / fullCPULimit
+	sum := -reduction
+	for k, above := range b.aboveTarget {
+		sum += latencyCriticalWeight * (interf.OverTargetRisk(above) - interf.OverTargetRisk(above-reduction*b.added[k][i]))
 	}
 	return sum
 }
 
-// bestEffortRuns returns the worker's bestEffortRuns runs in a fixed order.
+// bestEffortRuns returns the worker's best-effort runs that are known to run, by their start and their task's name.
 func (w *worker) bestEffortRuns() []*run {
-	var fills []*run
+	var runs []*run
 	for _, r := range w.runList {
 		if r.bestEffort() && r.state == RunLive {
-			fills = append(fills, r)
+			runs = append(runs, r)
 		}
 	}
-	sort.Slice(fills, func(i, k int) bool {
-		if fills[i].startedAt.Equal(fills[k].startedAt) {
-			return fills[i].runKey.task.String() < fills[k].runKey.task.String()
+	sort.Slice(runs, func(i, k int) bool {
+		if runs[i].startedAt.Equal(runs[k].startedAt) {
+			return runs[i].runKey.task.String() < runs[k].runKey.task.String()
 		}
-		return fills[i].startedAt.Before(fills[k].startedAt)
+		return runs[i].startedAt.Before(runs[k].startedAt)
 	})
-	return fills
+	return runs
 }
