--- a/internal/batch/sched/starve.go
+++ b/internal/batch/sched/starve.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// starveAfter is how long a job has nothing running before it counts as starved.
+// starveAfter is how long a job with waiting best-effort tasks has nothing running before it counts as starved.
 const starveAfter = 2 * time.Second
 
-// maxOnTimeAge is how long after its hand-in a job that can be on time holds starved ones back. Its own aim bounds nothing for
-// them: it grows with the work of a job.
+// maxOnTimeAge is how long after its release a job that can be on time keeps starved jobs from being placed. Its own relative
+// deadline would be no bound for them, as it grows with the job's work.
 const maxOnTimeAge = 8 * time.Second
 
-// countRun counts a run that has come or gone. The job hasn't been idle up to now if the run was there, unless it was one
-// of a starved job.
+// countRun counts a run of the job that is added (sign 1) or removed (sign -1). If a removed run was known to run, the job
+// hasn't been idle until now, unless the run was started for a starved job.
 func (j *job) countRun(r *run, sign int) {
 	j.activeRuns += sign
 	if sign < 0 && !r.starved && !r.confirmedAt.IsZero() {
@@ -21,9 +21,10 @@
 	}
 }
 
-// updateStarved finds out whether the step's job is starved: one of its filling tasks after the other is then placed where it may
-// disturb serving tasks and where only memory is left. Slowed there, it gets further than by waiting for a place that may
-// never come. Others are placed as if it weren't there, and none is placed while a job that can be on time has begun to wait.
+// updateStarved updates whether the step's job is starved. The best-effort tasks of a starved job are placed one at a time on
+// workers where they may interfere with latency-critical tasks, also if only memory is free there: throttled, a task makes
+// more progress than by waiting for a suitable worker that may never come. Other tasks are placed as if it weren't there,
+// and no starved task is placed while a job that can be on time is unplaced.
 func (c *Core) updateStarved(now time.Time, s *stepInstance) {
 	j := s.job
 	if j.idleSince.IsZero() {
@@ -32,27 +33,28 @@
 	starved := s.spec.BestEffort && j.activeRuns == 0 && now.Sub(j.idleSince) >= starveAfter && c.onTimeUnplaced[j.Service] != c.planNumber
 	if starved != s.starved {
 		s.starved = starved
-		s.infeasible = nil // they are of another kind now
+		s.infeasible = nil // the tasks are in another placement class now
 	}
 }
 
-// preemptStarved stops starved tasks for a lasting one that lacks only the memory that they hold, on the worker where that takes the
-// fewest. Slowed down to nothing, they would hold it for as long as the serving tasks there are near their targets.
+// preemptStarved preempts starved runs for a long-running task that lacks only the memory which they hold, on the worker
+// where the fewest have to be stopped. Paused, they would hold it for as long as the latency-critical tasks there are near their
+// targets.
 func (c *Core) preemptStarved(now time.Time, s *stepInstance) {
 	if c.starvedRuns == 0 {
 		return
 	}
 	var fewest []*run
 	for _, w := range c.workersByID {
-		z := s.spec.Size
-		z.Mem = 0
-		if w.Service != s.job.Service || !w.eligible(now, s) || !w.free().Covers(z) {
+		size := s.spec.Size
+		size.Mem = 0
+		if w.Service != s.job.Service || !w.eligible(now, s) || !w.free().Covers(size) {
 			continue
 		}
 		runs, ok := w.starvedToPreempt(s.spec.Size.Mem - w.free().Mem)
 		switch {
 		case ok && len(runs) == 0:
-			return // it is being made
+			return // runs that are being stopped already free enough memory
 		case ok && (fewest == nil || len(runs) < len(fewest)):
 			fewest = runs
 		}
@@ -63,22 +65,23 @@
 	}
 }
 
-// starvedToPreempt returns the newest starved runs that hold so much memory besides what is being stopped, and whether there are.
-func (w *worker) starvedToPreempt(mem int) ([]*run, bool) {
+// starvedToPreempt returns the newest starved runs that have to be stopped to free the missing memory (MiB), besides those
+// that are being stopped, and whether that is enough.
+func (w *worker) starvedToPreempt(missing int) ([]*run, bool) {
 	for _, r := range w.runList {
 		if r.starved && (r.state == RunStopping || r.state == RunStopped) {
-			mem -= r.task.step.spec.Size.Mem
+			missing -= r.task.step.spec.Size.Mem
 		}
 	}
 	var runs []*run
 	for _, r := range slices.Backward(w.runList) {
-		if mem <= 0 {
+		if missing <= 0 {
 			break
 		}
 		if r.starved && r.state == RunLive {
 			runs = append(runs, r)
-			mem -= r.task.step.spec.Size.Mem
+			missing -= r.task.step.spec.Size.Mem
 		}
 	}
-	return runs, mem <= 0
+	return runs, missing <= 0
 }
--- a/internal/batch/sched/unplaced.go
+++ b/internal/batch/sched/unplaced.go
@@ -5,77 +5,77 @@
 	"time"
 )
 
-// UnplacedStep tells why tasks of a step have found no place for a while.
+// UnplacedStep is a step whose tasks have found no worker for a while, with the reasons as numbers of workers.
 type UnplacedStep struct {
-	Job          string
-	Step         int
-	Image        string
-	Tasks        int // that wait
-	Waited       time.Duration
-	Workers      int // of the service
-	Unavailable  int // of these, that take nothing at present
-	OverTarget   int // where a serving task is over its target for long
-	NoResources  int // without room for it
-	NoMemory     int // of these, with the processors it asks for
-	Interference int // where they would disturb serving tasks too much
-	// LeastViolations is the least harm among these: the expected number of serving tasks brought over their target.
+	Job          string        // id of the job
+	Step         int           // index of the step in its job
+	Image        string        // image of its tasks
+	Tasks        int           // tasks that wait
+	Waited       time.Duration // since a task first found no worker
+	Workers      int           // workers of the service
+	Unavailable  int           // workers that accept no tasks at present or lack the required label
+	OverTarget   int           // workers where a latency-critical task has long been over its target
+	NoResources  int           // workers without the resources for a task, or where they are reserved
+	NoMemory     int           // of these, workers that lack memory but not CPU
+	Interference int           // workers where a task would interfere too much with latency-critical ones
+	// LeastViolations is the least among the workers counted in Interference of the expected violations: the number of
+	// latency-critical tasks that a task would push over their targets.
 	LeastViolations float64
 }
 
-// unplacedAfter is after how long without a place a step is told of: one that is on time as a rule
-// waits for less.
+// unplacedAfter is how long a step has waited when it is first reported. Steps that are on time usually wait for less.
 const unplacedAfter = time.Second
 
-// TakeUnplacedSteps returns the steps that have waited for long since the last call. Each is told again whenever its wait has
+// TakeUnplacedSteps returns the unplaced steps to report since the last call. A step is reported again each time its wait has
 // doubled.
 func (c *Core) TakeUnplacedSteps() []UnplacedStep {
-	w := c.unreportedUnplaced
+	steps := c.unreportedUnplaced
 	c.unreportedUnplaced = nil
-	return w
+	return steps
 }
 
-// noteUnplacedStep notes that a task of a step has found no place.
+// noteUnplacedStep records that a task of a step found no worker and, when a report is due, why.
 func (c *Core) noteUnplacedStep(now time.Time, s *stepInstance) {
 	if s.unplacedSince.IsZero() {
 		s.unplacedSince = now
 	}
-	since := now.Sub(s.unplacedSince)
+	waited := now.Sub(s.unplacedSince)
 	if s.spec.BestEffort && !s.spec.LongRunning && s.precedence.timeliness <= onTimeNotStarted && now.Sub(s.releasedAt) < maxOnTimeAge {
 		c.onTimeUnplaced[s.job.Service] = c.planNumber
 	}
-	if since < max(unplacedAfter, 2*s.reportedWait) {
+	if waited < max(unplacedAfter, 2*s.reportedWait) {
 		return
 	}
-	s.reportedWait = since
-	t := UnplacedStep{Job: s.job.ID, Step: s.index, Image: s.spec.Image, Tasks: s.pending, Waited: since}
+	s.reportedWait = waited
+	report := UnplacedStep{Job: s.job.ID, Step: s.index, Image: s.spec.Image, Tasks: s.pending, Waited: waited}
 	least := math.Inf(1)
 	for _, w := range c.workersByID {
 		if w.Service != s.job.Service {
 			continue
 		}
-		t.Workers++
+		report.Workers++
 		_, fits := c.resourceScore(now, w, s)
 		switch {
 		case !w.schedulable(now) || !w.hasLabel(s.spec.RequiredLabel):
-			t.Unavailable++
+			report.Unavailable++
 		case !w.respectsReservation(c.planNumber, s.spec):
-			t.NoResources++
+			report.NoResources++
 		case s.spec.BestEffort && w.colocation.bestEffortBlocked:
-			t.OverTarget++
+			report.OverTarget++
 		case fits:
 		case s.spec.BestEffort && c.fitsBestEffort(now, w, s):
-			t.Interference++
-			harm, _ := c.interferenceOf(now, w, s.spec)
-			least = min(least, harm)
+			report.Interference++
+			violations, _ := c.interferenceOf(now, w, s.spec)
+			least = min(least, violations)
 		default:
-			t.NoResources++
+			report.NoResources++
 			if free := w.free(); free.Mem < s.spec.Size.Mem && (s.spec.BestEffort || free.CPU >= s.spec.Size.CPU) {
-				t.NoMemory++
+				report.NoMemory++
 			}
 		}
 	}
-	if t.Interference > 0 {
-		t.LeastViolations = least
+	if report.Interference > 0 {
+		report.LeastViolations = least
 	}
-	c.unreportedUnplaced = append(c.unreportedUnplaced, t)
+	c.unreportedUnplaced = append(c.unreportedUnplaced, report)
 }
--- a/internal/batch/sched/waitqueue.go
+++ b/internal/batch/sched/waitqueue.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// waitQueue is the steps with tasks that wait for a worker, in the order in which they are placed.
+// waitQueue holds the steps with tasks that wait for a worker, in the order in which they are placed.
 type waitQueue struct {
-	steps    []*stepInstance
-	added    []*stepInstance // not sorted in yet
-	sortedAt time.Time       // when steps was last sorted as a whole
-	// overloaded are the priorities at which jobs that haven't begun are late.
+	steps    []*stepInstance // sorted by precedence
+	added    []*stepInstance // added since, not sorted in yet
+	sortedAt time.Time       // when all steps were last sorted
+	// overloaded is the set of priorities at which jobs that haven't started are late.
 	overloaded map[int]bool
 }
 
-// resortInterval is how often all that waits is sorted anew: what becomes late meanwhile moves behind the rest.
+// resortInterval is how often the whole queue is sorted, so that steps that have become late move behind the others.
 const resortInterval = 200 * time.Millisecond
 
-// timeliness is what can still come of a step's job.
+// timeliness is whether a step's job can still be on time or useful to its caller.
 type timeliness int
 
-// The prospects of a job, in the order in which they are placed.
+// The timeliness of a job, in the order in which steps are placed.
 const (
-	onTimeStarted    timeliness = iota // on time, with tasks that have run: left alone, these would have run in vain
-	onTimeNotStarted                   // on time
-	lateUseful                         // worth something to its caller
-	lateUseless
+	onTimeStarted    timeliness = iota // can be on time; tasks of it have run, in vain if the others are delayed
+	onTimeNotStarted                   // can be on time; no task of it has run
+	lateUseful                         // late, but still useful to its caller
+	lateUseless                        // too late to be useful
 )
 
-// precedence says which of two steps is placed first.
+// precedence decides which of two steps is placed first: the fields are compared in their order, and the lesser one is first.
 type precedence struct {
-	batch      bool // lasting steps come first
-	priority   int
-	timeliness timeliness
-	at         int64 // Unix nanoseconds
+	batch      bool       // not long-running
+	priority   int        // of the job; 0 comes first
+	timeliness timeliness // of the job; not set for a long-running step
+	at         int64      // see waitQueue.precedence; Unix nanoseconds, negated where the newest comes first
 }
 
+// compare returns a negative number if p comes before q, a positive one if after, and 0 if they are equal.
 func (p precedence) compare(q precedence) int {
 	if p.batch != q.batch {
 		if q.batch {
@@ -47,7 +48,7 @@
 	return cmp.Or(cmp.Compare(p.priority, q.priority), cmp.Compare(p.timeliness, q.timeliness), cmp.Compare(p.at, q.at))
 }
 
-// timeliness returns what can still come of a step's job.
+// timeliness returns whether the step's job can still be on time or useful if the step starts now.
 func (s *stepInstance) timeliness(now time.Time) timeliness {
 	switch {
 	case now.After(s.latestUsefulStart):
@@ -60,12 +61,12 @@
 	return onTimeNotStarted
 }
 
-// precedence orders steps by the latest start with which their jobs are on time. Of jobs that haven't begun the
-// newest come first once others of their priority are late: with the oldest first, each would begin
-// when it can hardly be on time any more.
+// precedence returns the precedence of a step. Among equals, steps are ordered by the latest start with which their jobs are
+// on time. Among jobs that haven't started, the newest come first once others of their priority are late: with the oldest
+// first, each would start when it can hardly be on time any more.
 //
-// Lasting steps come first, those that have waited longest before the others: when their jobs were due says nothing of a
-// task that is to run again.
+// Long-running steps come before all others, the one that has waited longest first: their jobs' deadlines are long over
+// when a task has to be restarted, and say nothing about its urgency.
 func (w *waitQueue) precedence(now time.Time, s *stepInstance) precedence {
 	if s.spec.LongRunning {
 		return precedence{priority: s.job.Priority, at: s.queuedAt.UnixNano()}
@@ -77,7 +78,7 @@
 	return p
 }
 
-// updateOverloaded finds out at which priorities jobs that haven't begun are late.
+// updateOverloaded updates the set of priorities at which jobs that haven't started are late.
 func (w *waitQueue) updateOverloaded(now time.Time) {
 	if w.overloaded == nil {
 		w.overloaded = map[int]bool{}
@@ -90,16 +91,18 @@
 	}
 }
 
+// add adds a step; the next sort puts it in its place.
 func (w *waitQueue) add(s *stepInstance) {
 	w.added = append(w.added, s)
 }
 
-// all returns the steps in no certain order.
+// all returns all steps in an unspecified order.
 func (w *waitQueue) all() []*stepInstance {
 	return slices.Concat(w.steps, w.added)
 }
 
-// sort drops the steps of which no task waits any more and brings the others into their order.
+// sort drops the steps without waiting tasks and sorts the others: all of them once per resortInterval, otherwise it only
+// inserts the added ones.
 func (w *waitQueue) sort(now time.Time) {
 	w.steps = slices.DeleteFunc(w.steps, (*stepInstance).dequeueIfDone)
 	w.added = slices.DeleteFunc(w.added, (*stepInstance).dequeueIfDone)
@@ -109,8 +112,8 @@
 	}
 	if now.Sub(w.sortedAt) < resortInterval {
 		for _, s := range w.added {
-			i, _ := slices.BinarySearchFunc(w.steps, s.precedence, func(o *stepInstance, p precedence) int {
-				return cmp.Or(o.precedence.compare(p), -1) // after its equals
+			i, _ := slices.BinarySearchFunc(w.steps, s.precedence, func(other *stepInstance, p precedence) int {
+				return cmp.Or(other.precedence.compare(p), -1) // insert after steps of equal precedence
 			})
 			w.steps = slices.Insert(w.steps, i, s)
 		}
@@ -127,7 +130,7 @@
 	slices.SortStableFunc(w.steps, func(a, b *stepInstance) int { return a.precedence.compare(b.precedence) })
 }
 
-// dequeueIfDone reports whether no task of the step waits any more, and notes that it is then not listed.
+// dequeueIfDone reports whether no task of the step waits any more, and if so marks the step as not in the wait queue.
 func (s *stepInstance) dequeueIfDone() bool {
 	if s.pending > 0 && !s.job.state.Final() {
 		return false
