--- a/internal/batch/sched/starve_test.go
+++ b/internal/batch/sched/starve_test.go
@@ -9,15 +9,16 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// A filling task whose image would disturb the serving tasks of every worker stands still for good, with processors idle.
+// Guards against a best-effort job that never runs because its image would interfere with the latency-critical tasks of every
+// worker, while CPU is unused.
 func TestBestEffortTaskDoesNotStarve(t *testing.T) {
-	b, feeds := newBenchNearTarget(t, 1)
-	row := feeds["w0"]
-	book := bestEffortJob("f", "fill", 3000)
-	book.Steps[0].Count = 2
-	b.core.AddJob(b.now, book)
+	b, critical := newBenchNearTarget(t, 1)
+	row := critical["w0"]
+	job := bestEffortJob("f", "fill", 3000)
+	job.Steps[0].Count = 2
+	b.core.AddJob(b.now, job)
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Fatalf("started %v where it brings a serving task over its target", got)
+		t.Fatalf("started %v where it pushes a latency-critical task over its target", got)
 	}
 	for waited := time.Duration(0); waited < 3*time.Second; waited += 200 * time.Millisecond {
 		b.advance(200 * time.Millisecond)
@@ -27,22 +28,22 @@
 			continue
 		}
 		if len(got) != 1 {
-			t.Fatalf("started %v, want one task that keeps the job going", got)
+			t.Fatalf("started %v, want one task of the starved job", got)
 		}
 		b.poll("w0", sched.Report{Running: []sched.RunStatus{row}, Finished: []sched.FinishedRun{finishedRow(1, got[0], sched.EndDone)}})
 		if next := b.planOrders(sched.VerbStart); len(next) != 1 {
-			t.Errorf("started %v as that task has ended, want the next one", next)
+			t.Errorf("started %v after that task had ended, want the next one", next)
 		}
 		return
 	}
 	t.Error("no task of the job runs within 3s")
 }
 
-// A task that was placed where it disturbs a serving one works at full speed until the next reading, and the feed's users
-// wait meanwhile.
+// Guards against a starved job's task that runs unthrottled beside a latency-critical one until the next measurement, while
+// that one misses its target.
 func TestStarvedTaskIsThrottledAtOnce(t *testing.T) {
-	b, feeds := newBenchNearTarget(t, 1)
-	row := feeds["w0"]
+	b, critical := newBenchNearTarget(t, 1)
+	row := critical["w0"]
 	b.core.AddJob(b.now, bestEffortJob("f", "fill", 6000))
 	b.planOrders(sched.VerbStart)
 	b.advance(2 * time.Second)
@@ -52,19 +53,19 @@
 	}
 	b.advance(300 * time.Millisecond)
 	if got := b.planOrders(sched.VerbThrottle); len(got) != 1 || got[0].CPULimit == 100 {
-		t.Errorf("orders %v, want a lower pace", got)
+		t.Errorf("orders %v, want a lower CPU limit", got)
 	}
 }
 
-// Hopeless jobs that are kept going take the processors of jobs that can be on time.
+// Guards against tasks of starved jobs that can't be on time any more taking the CPU of jobs that can.
 func TestStarvedTaskYieldsToTimelyJob(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
-	book := func(id string, aim time.Duration) *sched.Job {
+	newJob := func(id string, deadline time.Duration) *sched.Job {
 		j := bestEffortJob(id, "fill", 3000)
-		j.Steps[0].Count, j.DeadlineBase, j.AcceptedAt = 5, aim, b.now
+		j.Steps[0].Count, j.DeadlineBase, j.AcceptedAt = 5, deadline, b.now
 		return j
 	}
-	b.core.AddJob(b.now, book("first", time.Minute))
+	b.core.AddJob(b.now, newJob("first", time.Minute))
 	var rep sched.Report
 	var ends []sched.FinishedRun
 	for i, o := range b.planOrders(sched.VerbStart) {
@@ -72,137 +73,139 @@
 		ends = append(ends, finishedRow(int64(i+1), o, sched.EndDone))
 	}
 	if len(ends) != 5 {
-		t.Fatalf("%d tasks of the first book started, want 5", len(ends))
+		t.Fatalf("%d tasks of the first job started, want 5", len(ends))
 	}
-	wait := func(d time.Duration) []sched.Order {
+	planAfter := func(d time.Duration) []sched.Order {
 		b.advance(d)
 		b.poll("w0", rep)
 		return b.planOrders(sched.VerbStart)
 	}
-	late := book("late", 0)
+	late := newJob("late", 0)
 	late.StretchFactor, late.AcceptedAt = 0, epoch().Add(-time.Hour)
 	b.core.AddJob(b.now, late)
-	b.core.AddJob(b.now, book("timely", time.Minute))
+	b.core.AddJob(b.now, newJob("timely", time.Minute))
 	for range 3 {
-		for _, o := range wait(time.Second) {
+		for _, o := range planAfter(time.Second) {
 			if o.Task.Job == "late" {
-				t.Fatalf("started %v while a job that can be on time waits", o)
+				t.Fatalf("started %v while a job that can be on time is unplaced", o)
 			}
 		}
 	}
 	b.core.CancelJob(b.now, "timely")
-	var hopeless []sched.Order
+	var lateStarts []sched.Order
 	for range 3 {
-		hopeless = append(hopeless, wait(time.Second)...)
-		for _, o := range hopeless {
+		lateStarts = append(lateStarts, planAfter(time.Second)...)
+		for _, o := range lateStarts {
 			rep.Running = append(rep.Running[:5:5], runningRow(o))
 		}
 	}
-	if len(hopeless) != 1 || hopeless[0].Task.Job != "late" {
-		t.Fatalf("started %v, want one task of the late job", hopeless)
+	if len(lateStarts) != 1 || lateStarts[0].Task.Job != "late" {
+		t.Fatalf("started %v, want one task of the late job", lateStarts)
 	}
 	rep = sched.Report{Running: rep.Running[5:], Finished: ends}
 	b.core.CancelJob(b.now, "first")
-	b.core.AddJob(b.now, book("next", time.Minute))
+	b.core.AddJob(b.now, newJob("next", time.Minute))
 	next := 0
-	for _, o := range wait(10 * time.Millisecond) {
+	for _, o := range planAfter(10 * time.Millisecond) {
 		if o.Task.Job == "next" {
 			next++
 		}
 	}
 	if next != 5 {
-		t.Errorf("%d tasks of the next book started, want 5", next)
+		t.Errorf("%d tasks of the next job started, want 5", next)
 	}
 }
 
-// newBenchNearTarget returns a bench of n workers whose feeds are at three quarters of their target, with their rows by worker.
-func newBenchNearTarget(t *testing.T, n int) (b *harness, feeds map[string]sched.RunStatus) {
+// newBenchNearTarget returns a harness with n workers, each with a latency-critical task at three quarters of its target, and
+// the statuses of these tasks by worker.
+func newBenchNearTarget(t *testing.T, n int) (b *harness, critical map[string]sched.RunStatus) {
 	t.Helper()
 	b = newHarness(t, 1, n).openWorkers()
 	for i := range n {
-		feed := servingJob(fmt.Sprintf("s%d", i), "serve")
-		feed.Steps[0].Count, feed.Steps[0].RequiredLabel = 1, fmt.Sprintf("w%d", i)
-		b.core.AddJob(b.now, feed)
+		job := servingJob(fmt.Sprintf("s%d", i), "serve")
+		job.Steps[0].Count, job.Steps[0].RequiredLabel = 1, fmt.Sprintf("w%d", i)
+		b.core.AddJob(b.now, job)
 	}
-	feeds = map[string]sched.RunStatus{}
+	critical = map[string]sched.RunStatus{}
 	for _, o := range b.planOrders(sched.VerbStart) {
 		row := runningRow(o)
 		row.Progress, row.TailLatency = 100, 18*time.Millisecond
-		feeds[o.Incarnation.ID] = row
+		critical[o.Incarnation.ID] = row
 	}
 	for range 10 {
 		b.advance(600 * time.Millisecond)
-		for id, row := range feeds {
+		for id, row := range critical {
 			b.poll(id, sched.Report{Running: []sched.RunStatus{row}})
 		}
 	}
-	return b, feeds
+	return b, critical
 }
 
-// The next step of a job that was at work until now is taken for starved, as if the job had waited since it was handed in.
+// Guards against counting a job as starved when its next step begins to wait, as if the job had waited since it was accepted,
+// although a task of it ran until now.
 func TestNextStepIsNotStarved(t *testing.T) {
-	b, feeds := newBenchNearTarget(t, 1)
-	book := bestEffortJob("f", "fill", 3000)
-	book.Steps = append([]sched.Step{{Count: 1, Size: wire.Size{CPU: 100, Mem: 100}, Estimate: time.Second}}, book.Steps...)
-	book.Steps[1].DependsOn = []int{0}
-	b.core.AddJob(b.now, book)
+	b, critical := newBenchNearTarget(t, 1)
+	job := bestEffortJob("f", "fill", 3000)
+	job.Steps = append([]sched.Step{{Count: 1, Size: wire.Size{CPU: 100, Mem: 100}, Estimate: time.Second}}, job.Steps...)
+	job.Steps[1].DependsOn = []int{0}
+	b.core.AddJob(b.now, job)
 	got := b.planOrders(sched.VerbStart)
 	if len(got) != 1 {
 		t.Fatalf("started %v, want the first step", got)
 	}
 	for range 5 {
 		b.advance(600 * time.Millisecond)
-		b.poll("w0", sched.Report{Running: []sched.RunStatus{feeds["w0"], runningRow(got[0])}})
+		b.poll("w0", sched.Report{Running: []sched.RunStatus{critical["w0"], runningRow(got[0])}})
 		b.planOrders(sched.VerbStart)
 	}
-	b.poll("w0", sched.Report{Running: []sched.RunStatus{feeds["w0"]}, Finished: []sched.FinishedRun{finishedRow(1, got[0], sched.EndDone)}})
+	b.poll("w0", sched.Report{Running: []sched.RunStatus{critical["w0"]}, Finished: []sched.FinishedRun{finishedRow(1, got[0], sched.EndDone)}})
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
-		t.Errorf("started %v where they bring a serving task over its target, of a job that was at work until now", got)
+		t.Errorf("started %v where they push a latency-critical task over its target, for a job that had a task running until now", got)
 	}
 }
 
-// A starved job's last task is stopped again and again for a worker on which it disturbs as much.
+// Guards against stopping a starved job's last task again and again to move it to a worker on which it interferes as much.
 func TestStarvedTaskIsNotMovedToEqualInterference(t *testing.T) {
-	b, feeds := newBenchNearTarget(t, 2)
-	book := bestEffortJob("f", "fill", 6000)
-	book.Steps[0].Count, book.Steps[0].Checkpointed = 1, true
-	b.core.AddJob(b.now, book)
+	b, critical := newBenchNearTarget(t, 2)
+	job := bestEffortJob("f", "fill", 6000)
+	job.Steps[0].Count, job.Steps[0].Checkpointed = 1, true
+	b.core.AddJob(b.now, job)
 	b.planOrders(sched.VerbStart)
 	b.advance(2 * time.Second)
-	for id, row := range feeds {
+	for id, row := range critical {
 		b.poll(id, sched.Report{Running: []sched.RunStatus{row}})
 	}
 	got := b.planOrders(sched.VerbStart)
 	if len(got) != 1 {
 		t.Fatalf("started %v, want one task", got)
 	}
-	at := got[0].Incarnation.ID
-	better := feeds[otherWorker(got[0])]
+	worker := got[0].Incarnation.ID
+	better := critical[otherWorker(got[0])]
 	better.TailLatency = 17 * time.Millisecond
-	feeds[otherWorker(got[0])] = better
+	critical[otherWorker(got[0])] = better
 	for range 20 {
 		b.advance(200 * time.Millisecond)
-		for id, row := range feeds {
+		for id, row := range critical {
 			rep := sched.Report{Running: []sched.RunStatus{row}}
-			if id == at {
+			if id == worker {
 				rep.Running = append(rep.Running, runningRow(got[0]))
 			}
 			b.poll(id, rep)
 		}
 		if stops := b.planOrders(sched.VerbStop); len(stops) != 0 {
-			t.Fatalf("stopped %v", stops)
+			t.Fatalf("stopped %v, want no stops", stops)
 		}
 	}
 }
 
-// Starved tasks that stand still hold the memory of a worker, and a task that lasts finds none for as long.
+// Guards against paused tasks of starved jobs that hold a worker's memory, so that a long-running task finds none.
 func TestStarvedTasksArePreempted(t *testing.T) {
-	b, feeds := newBenchNearTarget(t, 1)
-	rep := sched.Report{Running: []sched.RunStatus{feeds["w0"]}}
+	b, critical := newBenchNearTarget(t, 1)
+	rep := sched.Report{Running: []sched.RunStatus{critical["w0"]}}
 	for i := range 30 {
-		book := bestEffortJob(fmt.Sprintf("f%d", i), "fill", 6000)
-		book.Steps[0].Count = 1
-		b.core.AddJob(b.now, book)
+		job := bestEffortJob(fmt.Sprintf("f%d", i), "fill", 6000)
+		job.Steps[0].Count = 1
+		b.core.AddJob(b.now, job)
 	}
 	b.planOrders(sched.VerbStart)
 	b.advance(2 * time.Second)
@@ -216,15 +219,15 @@
 	}
 	b.advance(400 * time.Millisecond)
 	b.poll("w0", rep)
-	b.core.AddJob(b.now, oneTaskJob("lasting", func(j *sched.Job) { j.Steps[0].LongRunning, j.Steps[0].Size.Mem = true, 6000 }))
+	b.core.AddJob(b.now, oneTaskJob("long-running", func(j *sched.Job) { j.Steps[0].LongRunning, j.Steps[0].Size.Mem = true, 6000 }))
 	b.planOrders(sched.VerbStart)
 	stops := b.planOrders(sched.VerbStop)
 	if len(stops) != 2 {
-		t.Fatalf("stopped %v, want the two tasks of 3200 MiB each that make room for one of 6000", stops)
+		t.Fatalf("stopped %v, want the two tasks of 3200 MiB each that free memory for one of 6000", stops)
 	}
 	b.advance(50 * time.Millisecond)
 	if more := b.planOrders(sched.VerbStop); len(more) != 0 {
-		t.Errorf("stopped %v besides", more)
+		t.Errorf("stopped %v as well, want no more stops", more)
 	}
 	for i, o := range stops {
 		rep.Finished = append(rep.Finished, finishedRow(int64(i+1), o, sched.EndStopped))
@@ -238,15 +241,16 @@
 	rep.Running = left
 	b.poll("w0", rep)
 	started := b.planOrders(sched.VerbStart)
-	if len(started) != 1 || started[0].Task.Job != "lasting" {
-		t.Errorf("started %v, want the task that lasts", started)
+	if len(started) != 1 || started[0].Task.Job != "long-running" {
+		t.Errorf("started %v, want the long-running task", started)
 	}
 }
 
-// A job that can be on time for long and finds no place for all of its tasks keeps all late jobs from having anything running.
+// Guards against a job that can be on time for long, but finds no worker for some of its tasks, keeping all late jobs from
+// running.
 func TestTimelyJobDoesNotStarveOthers(t *testing.T) {
-	b, feeds := newBenchNearTarget(t, 1)
-	rep := sched.Report{Running: []sched.RunStatus{feeds["w0"]}}
+	b, critical := newBenchNearTarget(t, 1)
+	rep := sched.Report{Running: []sched.RunStatus{critical["w0"]}}
 	late := bestEffortJob("late", "fill", 3000)
 	late.AcceptedAt = b.now.Add(-time.Hour)
 	b.core.AddJob(b.now, late)
--- a/internal/batch/sched/unplaced_test.go
+++ b/internal/batch/sched/unplaced_test.go
@@ -8,8 +8,8 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// A check-in is late because the only worker with room drains. Whoever looks for the reason finds a
-// line that says so each time its wait has doubled, not one for each plan.
+// A job is late because the only worker with free resources is draining. That is reported each time its wait has doubled, not
+// with each plan.
 func TestUnplacedSteps(t *testing.T) {
 	b := newHarness(t, 1, 3).openWorkers()
 	all := members(3)
@@ -23,25 +23,25 @@
 		reports[o.Incarnation.ID] = sched.Report{Running: []sched.RunStatus{runningRow(o)}}
 	}
 	b.core.AddJob(b.now, oneTaskJob("late", nil))
-	var told []sched.UnplacedStep
+	var reported []sched.UnplacedStep
 	for range 75 {
 		b.advance(100 * time.Millisecond)
 		for _, m := range all {
 			b.poll(m.ID, reports[m.ID])
 		}
 		b.planOrders(sched.VerbStart)
-		told = append(told, b.core.TakeUnplacedSteps()...)
+		reported = append(reported, b.core.TakeUnplacedSteps()...)
 	}
-	if len(told) != 3 {
-		t.Fatalf("told %d times: %+v", len(told), told)
+	if len(reported) != 3 {
+		t.Fatalf("reported %d times, want 3: %+v", len(reported), reported)
 	}
-	for i, w := range told {
+	for i, w := range reported {
 		if least := time.Second << i; w.Waited < least || w.Waited >= least+time.Second {
-			t.Errorf("told after %s, want %s", w.Waited, least)
+			t.Errorf("reported after %s, want from %s", w.Waited, least)
 		}
 		w.Waited = 0
 		if want := (sched.UnplacedStep{Job: "late", Tasks: 1, Workers: 3, Unavailable: 1, NoResources: 2}); w != want {
-			t.Errorf("told %+v, want %+v", w, want)
+			t.Errorf("reported %+v, want %+v", w, want)
 		}
 	}
 }
--- a/internal/batch/sched/waitqueue_test.go
+++ b/internal/batch/sched/waitqueue_test.go
@@ -7,18 +7,19 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// The worker of a feed is gone while all others are full, and new feeds come in. Its job's due time is long over: with
-// that for its turn, the feed stood still until all that had come after it ran.
+// Guards against ordering long-running tasks by their jobs' deadlines. A task whose worker is gone waits while all other
+// workers are full and new long-running jobs come in. As its own deadline is long over, it would be restarted only after all
+// of them.
 func TestLongestWaitingRestartFirst(t *testing.T) {
-	feed := func(id string, at time.Time) *sched.Job {
+	longRunning := func(id string, at time.Time) *sched.Job {
 		return oneTaskJob(id, func(j *sched.Job) {
 			j.Steps[0].LongRunning, j.Steps[0].Size.CPU = true, 16000
 			j.AcceptedAt, j.DeadlineBase, j.StretchFactor = at, time.Second, 1.5
 		})
 	}
 	b := newHarness(t, 1, 2).openWorkers()
-	b.core.AddJob(b.now, feed("old", b.now))
-	b.core.AddJob(b.now, feed("beside", b.now))
+	b.core.AddJob(b.now, longRunning("old", b.now))
+	b.core.AddJob(b.now, longRunning("beside", b.now))
 	workers := map[string]sched.Order{}
 	for _, o := range b.planOrders(sched.VerbStart) {
 		workers[o.Task.Job] = o
@@ -41,7 +42,7 @@
 	b.planOrders(sched.VerbStart)
 	for _, id := range []string{"new0", "new1"} {
 		b.advance(500 * time.Millisecond)
-		b.core.AddJob(b.now, feed(id, b.now))
+		b.core.AddJob(b.now, longRunning(id, b.now))
 		b.planOrders(sched.VerbStart)
 	}
 	b.core.CancelJob(b.now, "beside")
@@ -49,6 +50,6 @@
 	b.poll(beside.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, beside, sched.EndStopped)}})
 	got := b.planOrders(sched.VerbStart)
 	if len(got) != 1 || got[0].Task.Job != "old" {
-		t.Errorf("room for one goes to %v, want old, which has waited longest", got)
+		t.Errorf("resources for one task go to %v, want job old, which has waited longest", got)
 	}
 }
