--- a/internal/batch/sched/feasible.go
+++ b/internal/batch/sched/feasible.go
@@ -140,7 +140,7 @@
 		}
 		return f
 	}
-	// A sample may miss the few workers byCPU the rack of the data.
+	// A sample may miss the few workers in the rack of the data.
 	dataRack := s.spec.DataRack
 	if dataRack != "" {
 		for _, w := range index.byRack[dataRack] {
--- a/internal/batch/sched/starve.go
+++ b/internal/batch/sched/starve.go
@@ -38,8 +38,8 @@
 }
 
 // preemptStarved preempts starved runs for a long-running task that lacks only the memory which they hold, on the worker
-// where the fewest have to be stopped. Paused, they would hold it for as long as the latency-critical tasks there are near their
-// targets.
+// where the fewest have to be stopped. Paused, they would hold it for as long as the latency-critical tasks there are near
+// their targets.
 func (c *Core) preemptStarved(now time.Time, s *stepInstance) {
 	if c.starvedRuns == 0 {
 		return
--- a/internal/batch/sched/waitqueue.go
+++ b/internal/batch/sched/waitqueue.go
@@ -34,7 +34,7 @@
 	batch      bool       // not long-running
 	priority   int        // of the job; 0 comes first
 	timeliness timeliness // of the job; not set for a long-running step
-	at         int64      // see waitQueue.precedence; Unix nanoseconds, negated where the newest comes first
+	timeKey    int64      // see waitQueue.precedence; Unix nanoseconds, negated where the newest comes first
 }
 
 // compare returns a negative number if p comes before q, a positive one if after, and 0 if they are equal.
@@ -45,7 +45,7 @@
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(p.priority, q.priority), cmp.Compare(p.timeliness, q.timeliness), cmp.Compare(p.at, q.at))
+	return cmp.Or(cmp.Compare(p.priority, q.priority), cmp.Compare(p.timeliness, q.timeliness), cmp.Compare(p.timeKey, q.timeKey))
 }
 
 // timeliness returns whether the step's job can still be on time or useful if the step starts now.
@@ -69,11 +69,11 @@
 // when a task has to be restarted, and say nothing about its urgency.
 func (w *waitQueue) precedence(now time.Time, s *stepInstance) precedence {
 	if s.spec.LongRunning {
-		return precedence{priority: s.job.Priority, at: s.queuedAt.UnixNano()}
+		return precedence{priority: s.job.Priority, timeKey: s.queuedAt.UnixNano()}
 	}
-	p := precedence{batch: true, priority: s.job.Priority, timeliness: s.timeliness(now), at: s.latestOnTimeStart.UnixNano()}
+	p := precedence{batch: true, priority: s.job.Priority, timeliness: s.timeliness(now), timeKey: s.latestOnTimeStart.UnixNano()}
 	if p.timeliness == onTimeNotStarted && w.overloaded[p.priority] {
-		p.at = -s.releasedAt.UnixNano()
+		p.timeKey = -s.releasedAt.UnixNano()
 	}
 	return p
 }
