--- a/internal/batch/drive/cluster_test.go
+++ b/internal/batch/drive/cluster_test.go
@@ -31,7 +31,7 @@
 
 	wrapWorkers func(drive.WorkerClient) drive.WorkerClient // wraps each host's client of the workers; nil: no wrapper
 
-	wrapStore func(store.Multi) store.Multi // wraps each host's client of the store; nil: no wrapper
+	wrapStore func(store.TxnStore) store.TxnStore // wraps each host's client of the store; nil: no wrapper
 
 	mu      sync.Mutex
 	cutZone string // failure domain that is partitioned from the others and the store; empty: none
@@ -113,7 +113,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
 	h.cpu = &processor{turn: h.cpu.turn} // no turns of the former process are queued
-	var client store.Multi = &slowStore{cpu: h.cpu, Multi: h.cluster.store.Client(func() multi.Mode {
+	var client store.TxnStore = &slowStore{cpu: h.cpu, TxnStore: h.cluster.store.Client(func() multi.Mode {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.cluster.partitioned(h.zone, "store") {
--- a/internal/batch/drive/holder.go
+++ b/internal/batch/drive/holder.go
@@ -43,14 +43,14 @@
 
 // Options configures a Holder.
 type Options struct {
-	Store          store.Multi   // holds the jobs, their progress, the intent and the directory
-	Workers        WorkerClient  // reaches the workers
-	Codec          Codec         // decodes the intent and the directory
-	WorkerLease    time.Duration // granted to workers
-	MaxWorkerLease time.Duration // longest lease that workers grant
-	MaxUnconfirmed time.Duration // how long tasks are started and leases granted after a confirmation
-	MaxStopTime    time.Duration // longest time that a worker takes to stop a run
-	JobRetention   time.Duration // how long ended jobs stay known
+	Store          store.TxnStore // holds the jobs, their progress, the intent and the directory
+	Workers        WorkerClient   // reaches the workers
+	Codec          Codec          // decodes the intent and the directory
+	WorkerLease    time.Duration  // granted to workers
+	MaxWorkerLease time.Duration  // longest lease that workers grant
+	MaxUnconfirmed time.Duration  // how long tasks are started and leases granted after a confirmation
+	MaxStopTime    time.Duration  // longest time that a worker takes to stop a run
+	JobRetention   time.Duration  // how long ended jobs stay known
 	Log            logr.Logger
 	Tenure         *lead.Tenure // this process's time as the holder
 	Scope          tally.Scope  // for metrics; nil: none
--- a/internal/batch/drive/processor_test.go
+++ b/internal/batch/drive/processor_test.go
@@ -87,7 +87,7 @@
 
 // slowStore is a client of the store on a host whose processor takes turns for each call.
 type slowStore struct {
-	store.Multi
+	store.TxnStore
 	cpu *processor
 }
 
@@ -95,27 +95,27 @@
 func withTurns[T any](ctx context.Context, cpu *processor, call func() (T, error)) (T, error) {
 	var zero T
 	if !cpu.take(ctx) {
-		return zero, store.ErrUnknown
+		return zero, store.ErrOutcomeUnknown
 	}
 	result, err := call()
 	if !cpu.take(ctx) {
-		return zero, store.ErrUnknown
+		return zero, store.ErrOutcomeUnknown
 	}
 	return result, err
 }
 
 func (s *slowStore) Get(ctx context.Context, key string) (store.Entry, error) {
-	return withTurns(ctx, s.cpu, func() (store.Entry, error) { return s.Multi.Get(ctx, key) })
+	return withTurns(ctx, s.cpu, func() (store.Entry, error) { return s.TxnStore.Get(ctx, key) })
 }
 
-func (s *slowStore) Range(ctx context.Context, prefix string) (store.Page, error) {
-	return withTurns(ctx, s.cpu, func() (store.Page, error) { return s.Multi.Range(ctx, prefix) })
+func (s *slowStore) Range(ctx context.Context, prefix string) (store.Listing, error) {
+	return withTurns(ctx, s.cpu, func() (store.Listing, error) { return s.TxnStore.Range(ctx, prefix) })
 }
 
 func (s *slowStore) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
 	next := after
 	changes, err := withTurns(ctx, s.cpu, func() (changes []store.Change, err error) {
-		changes, next, err = s.Multi.Watch(ctx, prefix, after, limit)
+		changes, next, err = s.TxnStore.Watch(ctx, prefix, after, limit)
 		return changes, err
 	})
 	if err != nil {
@@ -125,19 +125,19 @@
 }
 
 func (s *slowStore) Commit(ctx context.Context, t store.Txn) (uint64, error) {
-	return withTurns(ctx, s.cpu, func() (uint64, error) { return s.Multi.Commit(ctx, t) })
+	return withTurns(ctx, s.cpu, func() (uint64, error) { return s.TxnStore.Commit(ctx, t) })
 }
 
-func (s *slowStore) Open(ctx context.Context, ttl time.Duration) (string, error) {
-	return withTurns(ctx, s.cpu, func() (string, error) { return s.Multi.Open(ctx, ttl) })
+func (s *slowStore) OpenLease(ctx context.Context, ttl time.Duration) (string, error) {
+	return withTurns(ctx, s.cpu, func() (string, error) { return s.TxnStore.OpenLease(ctx, ttl) })
 }
 
-func (s *slowStore) Renew(ctx context.Context, lease string) error {
-	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.Multi.Renew(ctx, lease) })
+func (s *slowStore) RenewLease(ctx context.Context, lease string) error {
+	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.TxnStore.RenewLease(ctx, lease) })
 	return err
 }
 
-func (s *slowStore) Close(ctx context.Context, lease string) error {
-	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.Multi.Close(ctx, lease) })
+func (s *slowStore) CloseLease(ctx context.Context, lease string) error {
+	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.TxnStore.CloseLease(ctx, lease) })
 	return err
 }
--- a/internal/batch/drive/staleness_test.go
+++ b/internal/batch/drive/staleness_test.go
@@ -21,7 +21,7 @@
 
 // directoryFaultStore is a store whose reads of the directory can be made to fail or to be slow.
 type directoryFaultStore struct {
-	store.Multi
+	store.TxnStore
 	beforeRead       func(context.Context) error // called before each full read; nil: no fault
 	beforeWatchReply func(context.Context) error // called before each watch returns; nil: no fault
 	mu               *sync.Mutex                 // guards the faults
@@ -46,16 +46,16 @@
 }
 
 // Range implements store.Multi.
-func (s *directoryFaultStore) Range(ctx context.Context, prefix string) (store.Page, error) {
+func (s *directoryFaultStore) Range(ctx context.Context, prefix string) (store.Listing, error) {
 	if err := s.runFault(ctx, prefix, &s.beforeRead); err != nil {
-		return store.Page{}, err
+		return store.Listing{}, err
 	}
-	return s.Multi.Range(ctx, prefix)
+	return s.TxnStore.Range(ctx, prefix)
 }
 
 // Watch implements store.Multi.
 func (s *directoryFaultStore) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
-	changes, next, err := s.Multi.Watch(ctx, prefix, after, limit)
+	changes, next, err := s.TxnStore.Watch(ctx, prefix, after, limit)
 	if fault := s.runFault(ctx, prefix, &s.beforeWatchReply); fault != nil {
 		return nil, after, fault
 	}
@@ -63,12 +63,12 @@
 }
 
 // refuseCall is a fault by which the store refuses a call.
-func refuseCall(context.Context) error { return store.ErrBusy }
+func refuseCall(context.Context) error { return store.ErrRefused }
 
 // hangCall is a fault by which a call stays unanswered until its caller gives up.
 func hangCall(ctx context.Context) error {
 	wait.For(ctx, callLimit)
-	return store.ErrUnknown
+	return store.ErrOutcomeUnknown
 }
 
 // delayCall is a fault by which a call takes as long as the slowest call that still succeeds.
@@ -82,8 +82,8 @@
 func newFaultStoreCluster(t *testing.T, workers int, onStart func(sched.Order)) (*testCluster, *directoryFaultStore) {
 	s := &directoryFaultStore{mu: &sync.Mutex{}}
 	c := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
-	c.wrapStore = func(m store.Multi) store.Multi {
-		s.Multi = m
+	c.wrapStore = func(m store.TxnStore) store.TxnStore {
+		s.TxnStore = m
 		return s
 	}
 	c.wrapWorkers = func(client drive.WorkerClient) drive.WorkerClient { return &observedWorkers{client, onStart} }
--- a/internal/batch/drive/watch.go
+++ b/internal/batch/drive/watch.go
@@ -13,7 +13,7 @@
 
 // prefixWatch keeps a copy of the keys below a prefix and reports each change.
 type prefixWatch struct {
-	store  store.Multi
+	store  store.TxnStore
 	prefix string
 	// readInterval is the interval of full reads besides the watch. A watch may be cut off from its changes, and
 	// its silence looks the same as when there are none.
--- a/internal/batch/hold/bucket.go
+++ b/internal/batch/hold/bucket.go
@@ -131,7 +131,7 @@
 	}
 	// While the store is away this goes on trying: nothing that waits for the write is
 	// answered meanwhile.
-	err = store.Settle(ctx, b.h.o.Store, bucketPrefix+b.name, value, b.rev, store.Same(value))
+	err = store.SwapWithRetry(ctx, b.h.o.Store, bucketPrefix+b.name, value, b.rev, store.ValueEquals(value))
 	if err == nil {
 		err = b.reread(ctx, value)
 	}
@@ -152,7 +152,7 @@
 	b.ended = true
 	b.cancel()
 	b.wake()
-	if err != nil && !errors.Is(err, store.ErrUnknown) {
+	if err != nil && !errors.Is(err, store.ErrOutcomeUnknown) {
 		b.h.o.Log.Info("bucket lost", "bucket", b.name, "err", err.Error())
 	}
 	go b.h.forget(b)
--- a/internal/batch/hold/hold.go
+++ b/internal/batch/hold/hold.go
@@ -196,7 +196,7 @@
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, h.o.Timeout)
-		done, err := link.Call[YieldArgs, bool](cctx, h.o.Links.To(m.Addr), "Peer.Yield", YieldArgs{table, name, row.Ep})
+		done, err := link.Call[YieldArgs, bool](cctx, h.o.Links.Get(m.Addr), "Peer.Yield", YieldArgs{table, name, row.Ep})
 		cancel()
 		if err != nil || !done {
 			return false
@@ -315,7 +315,7 @@
 	if !ok || m.ID == h.o.Group.Self().ID {
 		return SubmitReply{Code: CodeAway, Text: ErrAway.Error()}
 	}
-	rep, err := link.Call[SubmitArgs, SubmitReply](ctx, h.o.Links.To(m.Addr), "Peer.Submit", in)
+	rep, err := link.Call[SubmitArgs, SubmitReply](ctx, h.o.Links.Get(m.Addr), "Peer.Submit", in)
 	if err != nil {
 		return SubmitReply{Code: CodeAway, Text: ErrAway.Error()}
 	}
--- a/internal/batch/hold/hold_test.go
+++ b/internal/batch/hold/hold_test.go
@@ -30,8 +30,8 @@
 	joined := make(chan struct{}, 1)
 	group := member.New(member.Options{
 		Self: member.Member{ID: "e0", Zone: "heredia", State: member.StateLive}, Store: s, Links: links,
-		Lease: time.Hour, Wait: time.Minute, Beat: time.Minute, Timeout: time.Minute, Log: logr.Discard(),
-		Joined: func() { joined <- struct{}{} },
+		LeaseTTL: time.Hour, WatchTimeout: time.Minute, HeartbeatInterval: time.Minute, HeartbeatTimeout: time.Minute, Log: logr.Discard(),
+		OnJoin: func() { joined <- struct{}{} },
 	})
 	keeper := shard.NewKeeper(shard.Options{
 		Store: s, Group: group, Wait: time.Minute, Log: logr.Discard(),
--- a/internal/batch/hold/rack.go
+++ b/internal/batch/hold/rack.go
@@ -253,7 +253,7 @@
 	}
 	cctx, cancel := context.WithTimeout(ctx, h.o.Timeout)
 	defer cancel()
-	rep, err := link.Call[SyncArgs, SyncReply](cctx, h.o.Links.To(m.Addr), "Peer.Sync", in)
+	rep, err := link.Call[SyncArgs, SyncReply](cctx, h.o.Links.Get(m.Addr), "Peer.Sync", in)
 	return rep, err == nil
 }
 
--- a/internal/ctrl/lead/elector.go
+++ b/internal/ctrl/lead/elector.go
@@ -59,7 +59,7 @@
 
 // Options holds the settings of an Elector.
 type Options struct {
-	Store    store.Multi
+	Store    store.TxnStore
 	Name     string        // of this process
 	Addr     string        // of this process's peer interface
 	LeaseTTL time.Duration // time after which a holder that doesn't renew its lease is replaced
@@ -131,7 +131,7 @@
 // recordStoreResult records from the error of a call whether the store answered it.
 func (e *Elector) recordStoreResult(err error) {
 	answered := err == nil
-	for _, answer := range []error{store.ErrNotFound, store.ErrConflict, store.ErrLapsed, store.ErrCompacted} {
+	for _, answer := range []error{store.ErrNotFound, store.ErrConflict, store.ErrLeaseNotFound, store.ErrCompacted} {
 		answered = answered || errors.Is(err, answer)
 	}
 	e.mu.Lock()
@@ -410,7 +410,7 @@
 	e.mu.Lock()
 	stored := e.stored
 	e.mu.Unlock()
-	lease, err := e.opt.Store.Open(ctx, e.opt.LeaseTTL)
+	lease, err := e.opt.Store.OpenLease(ctx, e.opt.LeaseTTL)
 	if err != nil {
 		return nil, err
 	}
@@ -425,14 +425,14 @@
 	}
 	sent := time.Now()
 	rev, err := e.opt.Store.Commit(ctx, store.Txn{
-		If: []store.Cond{{Key: keyHolder}, {Key: keyTerm, Rev: stored.termRev}},
-		Do: []store.Write{
+		Conditions: []store.Condition{{Key: keyHolder}, {Key: keyTerm, Rev: stored.termRev}},
+		Writes: []store.Write{
 			{Key: keyHolder, Value: value, Lease: lease},
 			{Key: keyTerm, Value: term},
 			{Key: keyLastWrite, Value: writeID{h.ClaimID, 0}.encode()},
 		},
 	})
-	if errors.Is(err, store.ErrUnknown) {
+	if errors.Is(err, store.ErrOutcomeUnknown) {
 		rev, err = e.resolveClaim(ctx, h)
 	}
 	if err != nil {
@@ -459,5 +459,5 @@
 			break
 		}
 	}
-	return 0, store.ErrUnknown
+	return 0, store.ErrOutcomeUnknown
 }
--- a/internal/ctrl/lead/tenure.go
+++ b/internal/ctrl/lead/tenure.go
@@ -95,12 +95,12 @@
 // Resign ends the tenure and deletes the holder's key, so that another process can take over at once.
 func (t *Tenure) Resign(ctx context.Context) error {
 	t.cancel()
-	return t.elector.opt.Store.Close(ctx, t.currentLease())
+	return t.elector.opt.Store.CloseLease(ctx, t.currentLease())
 }
 
 // MaxWrites is the largest number of writes in one Commit. The transaction also has a condition on keyLastWrite and a
 // write of it.
-const MaxWrites = store.MaxTxn - 2
+const MaxWrites = store.MaxTxnOps - 2
 
 // Commit carries out writes in one transaction if this process is still the holder, and returns ErrNotHolder if it isn't.
 // It retries until the outcome is certain or the tenure ends.
@@ -118,8 +118,8 @@
 	t.lastWriteSeq++
 	id := writeID{t.claim.ClaimID, t.lastWriteSeq}
 	txn := store.Txn{
-		If: []store.Cond{{Key: keyLastWrite, Rev: t.lastWriteRev}},
-		Do: append([]store.Write{{Key: keyLastWrite, Value: id.encode()}}, writes...),
+		Conditions: []store.Condition{{Key: keyLastWrite, Rev: t.lastWriteRev}},
+		Writes:     append([]store.Write{{Key: keyLastWrite, Value: id.encode()}}, writes...),
 	}
 	for {
 		sent := time.Now()
@@ -138,7 +138,7 @@
 			return err
 		case t.ctx.Err() != nil:
 			return errors.Wrap(ErrNotHolder, t.ctx.Err().Error())
-		case !errors.Is(err, store.ErrBusy) && !errors.Is(err, store.ErrUnknown) && !errors.Is(err, store.ErrConflict):
+		case !errors.Is(err, store.ErrRefused) && !errors.Is(err, store.ErrOutcomeUnknown) && !errors.Is(err, store.ErrConflict):
 			return err
 		}
 		if !wait.For(t.ctx, retryInterval) {
@@ -205,12 +205,12 @@
 func (t *Tenure) renewLease() bool {
 	lease := t.currentLease()
 	sent := time.Now()
-	err := t.elector.opt.Store.Renew(t.ctx, lease)
+	err := t.elector.opt.Store.RenewLease(t.ctx, lease)
 	t.elector.recordStoreResult(err)
 	if err == nil {
 		t.setConfirmedAt(sent)
 	}
-	return errors.Is(err, store.ErrLapsed) && lease == t.currentLease()
+	return errors.Is(err, store.ErrLeaseNotFound) && lease == t.currentLease()
 }
 
 // currentLease returns the lease that the holder's key is bound to.
@@ -228,7 +228,7 @@
 // restoreKey writes the holder's key again with a new lease, as the lease may expire during an outage of the store. If
 // another process has claimed the key in the meantime, the tenure ends.
 func (t *Tenure) restoreKey() {
-	lease, err := t.elector.opt.Store.Open(t.ctx, t.elector.opt.LeaseTTL)
+	lease, err := t.elector.opt.Store.OpenLease(t.ctx, t.elector.opt.LeaseTTL)
 	if err != nil {
 		t.elector.opt.Log.Info("cannot open a lease", "cause", err.Error())
 		return
--- a/internal/ctrl/lead/tenure_test.go
+++ b/internal/ctrl/lead/tenure_test.go
@@ -23,17 +23,17 @@
 // silentStore is a store client on which some renewals get no answer, as on a connection that has stopped responding.
 // The next renewal works, as on a new connection.
 type silentStore struct {
-	store.Multi
+	store.TxnStore
 	unanswered atomic.Int64 // number of renewals to come that get no answer
 }
 
-// Renew implements store.Multi.
-func (s *silentStore) Renew(ctx context.Context, lease string) error {
+// RenewLease implements store.Multi.
+func (s *silentStore) RenewLease(ctx context.Context, lease string) error {
 	if s.unanswered.Add(-1) >= 0 {
 		wait.For(ctx, clientTimeout)
-		return store.ErrUnknown
+		return store.ErrOutcomeUnknown
 	}
-	return s.Multi.Renew(ctx, lease)
+	return s.TxnStore.RenewLease(ctx, lease)
 }
 
 // A slow store answers each call after half the lease's TTL. The holder must keep its key, and its last confirmation must
@@ -83,7 +83,7 @@
 		var clients []*silentStore
 		var terms sync.Map
 		for i := range 2 {
-			client := &silentStore{Multi: service.Client(nil)}
+			client := &silentStore{TxnStore: service.Client(nil)}
 			clients = append(clients, client)
 			elector := lead.New(lead.Options{Store: client, Name: fmt.Sprint(i), Addr: fmt.Sprint(i), LeaseTTL: 1200 * time.Millisecond, Log: logr.Discard()})
 			wg.Go(func() {
--- a/internal/ctrl/shard/keeper.go
+++ b/internal/ctrl/shard/keeper.go
@@ -97,7 +97,7 @@
 
 // Sure reports whether this process may act on what the tables give it.
 func (k *Keeper) Sure() bool {
-	if !k.o.Group.Lawful() {
+	if !k.o.Group.Authorized() {
 		return false
 	}
 	k.mu.Lock()
@@ -138,7 +138,7 @@
 	}
 }
 
-func (k *Keeper) adopt(p store.Page, began time.Time) {
+func (k *Keeper) adopt(p store.Listing, began time.Time) {
 	fresh := map[string]Table{}
 	k.mu.Lock()
 	for _, e := range p.Entries {
@@ -200,7 +200,7 @@
 	}
 	cctx, cancel := context.WithTimeout(ctx, 2*turn)
 	defer cancel()
-	err = store.Settle(cctx, k.o.Store, prefix+name, value, old.rev, store.Same(value))
+	err = store.SwapWithRetry(cctx, k.o.Store, prefix+name, value, old.rev, store.ValueEquals(value))
 	switch {
 	case err == nil:
 		k.o.Log.Info("table written", "table", name, "items", len(items), "seq", next.Seq)
@@ -233,7 +233,7 @@
 	self := k.o.Group.Self().ID
 	var before []string
 	for {
-		m, ok := view.Home(name, before...)
+		m, ok := view.HomeOf(name, before...)
 		if !ok || m.ID == self || slices.Contains(before, m.ID) {
 			return len(before)
 		}
--- a/internal/ctrl/sheet/record.go
+++ b/internal/ctrl/sheet/record.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return Config{}, errors.Wrap(err, "sheet")
 	}
-	err = store.Settle(ctx, s, key, value, c.rev, c.contains)
+	err = store.SwapWithRetry(ctx, s, key, value, c.rev, c.contains)
 	if errors.Is(err, store.ErrConflict) {
 		return Config{}, errors.Wrap(ErrConflict, "another operator changed the configuration at the same time; read it and try again")
 	}
@@ -259,7 +259,7 @@
 
 // take adopts a newer configuration. A lower number than one seen before is never
 // applied, whichever answer arrives late.
-func (f *Feed) take(p store.Page, began time.Time, confirms bool) {
+func (f *Feed) take(p store.Listing, began time.Time, confirms bool) {
 	var next Config
 	for _, e := range p.Entries {
 		if e.Key != key {
--- a/internal/ctrl/sheet/sheet_test.go
+++ b/internal/ctrl/sheet/sheet_test.go
@@ -94,8 +94,8 @@
 // An old answer arrives late, after a newer configuration was seen.
 func TestNoRevert(t *testing.T) {
 	f := NewFeed(nil, 0, func(Config) {}, nopLog())
-	page := func(num string) store.Page {
-		return store.Page{Rev: 9, Entries: []store.Entry{{Key: key, Value: []byte(`{"num":` + num + `}`)}}}
+	page := func(num string) store.Listing {
+		return store.Listing{Rev: 9, Entries: []store.Entry{{Key: key, Value: []byte(`{"num":` + num + `}`)}}}
 	}
 	f.take(page("5"), time.Now(), true)
 	f.take(page("4"), time.Now(), true)
@@ -120,7 +120,7 @@
 func TestFeedOrder(t *testing.T) {
 	ctx := context.Background()
 	s := newStore(t)
-	read := func() store.Page {
+	read := func() store.Listing {
 		p, err := s.List(ctx, key, 0, 0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/fake/multi/multi.go
+++ b/internal/fake/multi/multi.go
@@ -174,13 +174,13 @@
 	}
 	switch mode {
 	case ModeBusy:
-		return store.ErrBusy
+		return store.ErrRefused
 	case ModeSilent:
 		wait.For(ctx, silence)
-		return store.ErrUnknown
+		return store.ErrOutcomeUnknown
 	}
 	if !wait.For(ctx, delay+answer) {
-		return store.ErrUnknown
+		return store.ErrOutcomeUnknown
 	}
 	s.mu.Lock()
 	s.expire()
@@ -210,12 +210,12 @@
 }
 
 // Range implements store.Multi.
-func (c *Client) Range(ctx context.Context, prefix string) (store.Page, error) {
+func (c *Client) Range(ctx context.Context, prefix string) (store.Listing, error) {
 	if err := c.enter(ctx); err != nil {
-		return store.Page{}, err
+		return store.Listing{}, err
 	}
 	defer c.s.mu.Unlock()
-	p := store.Page{Rev: c.s.rev}
+	p := store.Listing{Rev: c.s.rev}
 	for k, e := range c.s.rows {
 		if strings.HasPrefix(k, prefix) {
 			p.Entries = append(p.Entries, e)
@@ -230,7 +230,7 @@
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
 	end := time.Now().Add(limit)
 	for {
-		if err := c.enter(ctx); errors.Is(err, store.ErrUnknown) {
+		if err := c.enter(ctx); errors.Is(err, store.ErrOutcomeUnknown) {
 			wait.For(ctx, time.Until(end))
 			return nil, after, err
 		} else if err != nil {
@@ -259,7 +259,7 @@
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			return nil, after, store.ErrUnknown
+			return nil, after, store.ErrOutcomeUnknown
 		case <-changed:
 		case <-t.C:
 		}
@@ -284,28 +284,28 @@
 		} else {
 			_, _ = s.commit(t) // its answer is lost
 		}
-		return 0, store.ErrUnknown
+		return 0, store.ErrOutcomeUnknown
 	}
 	return s.commit(t)
 }
 
 func (s *Service) commit(t store.Txn) (uint64, error) {
-	for _, w := range t.Do {
+	for _, w := range t.Writes {
 		if w.Lease != "" && s.leases[w.Lease] == nil {
-			return 0, store.ErrLapsed
+			return 0, store.ErrLeaseNotFound
 		}
 	}
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		if s.rows[c.Key].Rev != c.Rev {
 			return 0, store.ErrConflict
 		}
 	}
-	s.apply(t.Do)
+	s.apply(t.Writes)
 	return s.rev, nil
 }
 
-// Open implements store.Multi.
-func (c *Client) Open(ctx context.Context, ttl time.Duration) (string, error) {
+// OpenLease implements store.Multi.
+func (c *Client) OpenLease(ctx context.Context, ttl time.Duration) (string, error) {
 	if err := c.enter(ctx); err != nil {
 		return "", err
 	}
@@ -319,28 +319,28 @@
 	return id, nil
 }
 
-// Renew implements store.Multi.
-func (c *Client) Renew(ctx context.Context, id string) error {
+// RenewLease implements store.Multi.
+func (c *Client) RenewLease(ctx context.Context, id string) error {
 	if err := c.enter(ctx); err != nil {
 		return err
 	}
 	defer c.s.mu.Unlock()
 	l := c.s.leases[id]
 	if l == nil {
-		return store.ErrLapsed
+		return store.ErrLeaseNotFound
 	}
 	l.until = time.Now().Add(l.ttl)
 	return nil
 }
 
-// Close implements store.Multi.
-func (c *Client) Close(ctx context.Context, id string) error {
+// CloseLease implements store.Multi.
+func (c *Client) CloseLease(ctx context.Context, id string) error {
 	if err := c.enter(ctx); err != nil {
 		return err
 	}
 	defer c.s.mu.Unlock()
 	if c.s.leases[id] == nil {
-		return store.ErrLapsed
+		return store.ErrLeaseNotFound
 	}
 	c.s.drop(id)
 	return nil
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -11,28 +11,28 @@
 )
 
 var (
-	// ErrDown says that the peer could not be reached; the call was not made.
-	ErrDown = errors.New("link: peer down")
-	// ErrLost says that no answer came back; the call may have been made.
-	ErrLost = errors.New("link: answer lost")
+	// ErrUnreachable says that the peer could not be reached; the call was not made.
+	ErrUnreachable = errors.New("link: peer down")
+	// ErrAnswerLost says that no answer came back; the call may have been made.
+	ErrAnswerLost = errors.New("link: answer lost")
 )
 
-// acceptPause is left after a connection that couldn't be accepted, as when the process has as many
+// acceptRetryDelay is left after a connection that couldn't be accepted, as when the process has as many
 // descriptors open as it may.
-const acceptPause = 50 * time.Millisecond
+const acceptRetryDelay = 50 * time.Millisecond
 
-// redialAfter is how long a link that failed to connect answers ErrDown without another try.
-const redialAfter = 100 * time.Millisecond
+// redialDelay is how long a link that failed to connect answers ErrDown without another try.
+const redialDelay = 100 * time.Millisecond
 
 // Link is a connection to one peer that is made when needed and made anew when lost;
 // it is safe for concurrent use.
 type Link struct {
 	addr string
 
-	mu     sync.Mutex
-	client *rpc.Client
-	failed time.Time
-	closed bool
+	mu       sync.Mutex
+	client   *rpc.Client
+	failedAt time.Time
+	closed   bool
 }
 
 // New returns a link to the peer at addr (host:port); nothing is dialed yet.
@@ -49,7 +49,7 @@
 // (also when ctx ends first) or the error that the peer returned.
 func Call[In, Out any](ctx context.Context, l *Link, method string, in In) (Out, error) {
 	var out Out
-	c, err := l.dial(ctx)
+	c, err := l.connect(ctx)
 	if err != nil {
 		return out, err
 	}
@@ -58,7 +58,7 @@
 	case <-ctx.Done():
 		// The reply may still be written to, so it's left to the pending call.
 		var none Out
-		return none, errors.Wrap(ErrLost, ctx.Err().Error())
+		return none, errors.Wrap(ErrAnswerLost, ctx.Err().Error())
 	case <-call.Done:
 	}
 	var remote rpc.ServerError
@@ -68,33 +68,33 @@
 	case errors.As(call.Error, &remote):
 		return out, call.Error
 	case errors.Is(call.Error, rpc.ErrShutdown):
-		l.drop(c)
-		return out, errors.Wrap(ErrDown, l.addr)
+		l.dropClient(c)
+		return out, errors.Wrap(ErrUnreachable, l.addr)
 	}
-	l.drop(c)
-	return out, errors.Wrap(ErrLost, call.Error.Error())
+	l.dropClient(c)
+	return out, errors.Wrap(ErrAnswerLost, call.Error.Error())
 }
 
-func (l *Link) dial(ctx context.Context) (*rpc.Client, error) {
+func (l *Link) connect(ctx context.Context) (*rpc.Client, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client != nil {
 		return l.client, nil
 	}
-	if l.closed || time.Since(l.failed) < redialAfter {
-		return nil, errors.Wrap(ErrDown, l.addr)
+	if l.closed || time.Since(l.failedAt) < redialDelay {
+		return nil, errors.Wrap(ErrUnreachable, l.addr)
 	}
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", l.addr)
 	if err != nil {
-		l.failed = time.Now()
-		return nil, errors.Wrap(ErrDown, err.Error())
+		l.failedAt = time.Now()
+		return nil, errors.Wrap(ErrUnreachable, err.Error())
 	}
 	l.client = rpc.NewClient(conn)
 	return l.client, nil
 }
 
-func (l *Link) drop(c *rpc.Client) {
+func (l *Link) dropClient(c *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.client == c {
@@ -113,7 +113,7 @@
 	c := l.client
 	l.mu.Unlock()
 	if c != nil {
-		l.drop(c)
+		l.dropClient(c)
 	}
 }
 
@@ -134,8 +134,8 @@
 	links map[string]*Link
 }
 
-// To returns the link to addr, the same for every caller.
-func (s *Set) To(addr string) *Link {
+// Get returns the link to addr, the same for every caller.
+func (s *Set) Get(addr string) *Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.links == nil {
@@ -149,8 +149,8 @@
 	return l
 }
 
-// Keep closes the links to every address not in addrs.
-func (s *Set) Keep(addrs []string) {
+// CloseExcept closes the links to every address not in addrs.
+func (s *Set) CloseExcept(addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	want := map[string]bool{}
@@ -169,10 +169,10 @@
 type Server struct {
 	rpc *rpc.Server
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	lis   net.Listener
-	wg    sync.WaitGroup
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	listener net.Listener
+	wg       sync.WaitGroup
 }
 
 // NewServer returns a server that answers with the methods of impl under name.
@@ -187,7 +187,7 @@
 // Serve accepts connections until Close.
 func (s *Server) Serve(lis net.Listener) {
 	s.mu.Lock()
-	s.lis = lis
+	s.listener = lis
 	s.mu.Unlock()
 	for {
 		conn, err := lis.Accept()
@@ -195,18 +195,18 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.mu.Lock()
 		s.conns[conn] = true
 		s.wg.Add(1)
 		s.mu.Unlock()
-		go s.serve(conn)
+		go s.serveConn(conn)
 	}
 }
 
-func (s *Server) serve(conn net.Conn) {
+func (s *Server) serveConn(conn net.Conn) {
 	defer s.wg.Done()
 	s.rpc.ServeConn(conn)
 	s.mu.Lock()
@@ -217,8 +217,8 @@
 // Close stops accepting, closes the connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
-	if s.lis != nil {
-		_ = s.lis.Close()
+	if s.listener != nil {
+		_ = s.listener.Close()
 	}
 	for c := range s.conns {
 		_ = c.Close()
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -44,7 +44,7 @@
 	l := New(lis.Addr().String())
 	defer l.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
-	if _, err := Call[int, int](ctx, l, "Echo.Same", 7); !errors.Is(err, ErrLost) {
+	if _, err := Call[int, int](ctx, l, "Echo.Same", 7); !errors.Is(err, ErrAnswerLost) {
 		t.Fatalf("over the silent connection: %v", err)
 	}
 	cancel()
@@ -55,13 +55,13 @@
 	}
 }
 
-// busyListener fails its first accepts as when the process is out of descriptors.
-type busyListener struct {
+// failingListener fails its first accepts as when the process is out of descriptors.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *busyListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.EMFILE}
@@ -83,7 +83,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		s.Serve(&busyListener{lis, 3})
+		s.Serve(&failingListener{lis, 3})
 	}()
 	l := New(lis.Addr().String())
 	defer l.Close()
--- a/internal/peer/member/group.go
+++ b/internal/peer/member/group.go
@@ -17,57 +17,57 @@
 
 // Options says how a Group is set up; Self, Store and Links are needed.
 type Options struct {
-	Self    Member
-	Store   store.Store
-	Links   *link.Set
-	Lease   time.Duration // of the membership in the store
-	Wait    time.Duration // of one watch
-	Beat    time.Duration // between heartbeats
-	Timeout time.Duration // of one heartbeat
-	Log     logr.Logger
-	Changed func(View)             // called on each new view, one call at a time
-	Joined  func()                 // called after each joining, before which others may have taken over
-	Load    func() map[string]Load // what heartbeats tell of this process
-	Heard   func(id string, load map[string]Load)
+	Self              Member
+	Store             store.Store
+	Links             *link.Set
+	LeaseTTL          time.Duration // of the membership in the store
+	WatchTimeout      time.Duration // of one watch
+	HeartbeatInterval time.Duration // between heartbeats
+	HeartbeatTimeout  time.Duration // of one heartbeat
+	Log               logr.Logger
+	OnViewChange      func(View)                    // called on each new view, one call at a time
+	OnJoin            func()                        // called after each joining, before which others may have taken over
+	CurrentLoad       func() map[string]ServiceLoad // what heartbeats tell of this process
+	OnPeerLoad        func(id string, load map[string]ServiceLoad)
 }
 
-// Load is what a process tells its peers about one service.
-type Load struct {
+// ServiceLoad is what a process tells its peers about one service.
+type ServiceLoad struct {
 	Free int           // its own slots that are free now
 	Want int           // requests that wait for a slot
 	Wait time.Duration // how long the oldest has waited
 }
 
-// Beat is a heartbeat, and its answer too.
-type Beat struct {
+// Heartbeat is a heartbeat, and its answer too.
+type Heartbeat struct {
 	ID    string
 	Epoch uint64
 	Away  bool // the sender's own store calls fail
-	Load  map[string]Load
+	Load  map[string]ServiceLoad
 }
 
 // Group is this process's membership; New makes one and Run keeps it.
 type Group struct {
-	o Options
-
-	mu     sync.Mutex
-	view   View
-	lease  string // open in the store
-	member bool   // the own key is held under the lease
-	joined time.Time
-	self   Member
-	until  time.Time // own authority by the store's lease, on the monotonic clock
-	away   bool      // the last store call failed
-	heard  map[string]time.Time
-	theirs map[string]bool // peers whose store calls fail too
-	nudge  chan struct{}
+	opts Options
+
+	mu                sync.Mutex
+	view              View
+	leaseID           string // open in the store
+	keyHeld           bool   // the own key is held under the lease
+	joinedAt          time.Time
+	self              Member
+	authorizedUntil   time.Time // own authority by the store's lease, on the monotonic clock
+	storeUnreachable  bool      // the last store call failed
+	lastHeard         map[string]time.Time
+	peersWithoutStore map[string]bool // peers whose store calls fail too
+	renewWake         chan struct{}
 
 	abandoned bool
 }
 
 // New returns a group that isn't joined yet.
 func New(o Options) *Group {
-	return &Group{o: o, self: o.Self, heard: map[string]time.Time{}, theirs: map[string]bool{}, nudge: make(chan struct{}, 1)}
+	return &Group{opts: o, self: o.Self, lastHeard: map[string]time.Time{}, peersWithoutStore: map[string]bool{}, renewWake: make(chan struct{}, 1)}
 }
 
 // View returns the latest view.
@@ -77,13 +77,13 @@
 	return g.view
 }
 
-// Read returns the members as the store has them now, which may be ahead of View.
-func (g *Group) Read(ctx context.Context) (View, error) {
-	p, err := g.o.Store.List(ctx, prefix, 0, 0)
+// ReadView returns the members as the store has them now, which may be ahead of View.
+func (g *Group) ReadView(ctx context.Context) (View, error) {
+	p, err := g.opts.Store.List(ctx, keyPrefix, 0, 0)
 	if err != nil {
 		return View{}, err
 	}
-	return newView(p), nil
+	return decodeView(p), nil
 }
 
 // Self returns this process as a member.
@@ -93,18 +93,18 @@
 	return g.self
 }
 
-// up reports whether the peer has answered or sent a heartbeat lately; the lock is held.
-func (g *Group) up(id string, now time.Time) bool {
-	at, ok := g.heard[id]
-	return ok && now.Sub(at) < g.patience()
+// isUp reports whether the peer has answered or sent a heartbeat lately; the lock is held.
+func (g *Group) isUp(id string, now time.Time) bool {
+	at, ok := g.lastHeard[id]
+	return ok && now.Sub(at) < g.peerTimeout()
 }
 
-// patience is how long a silent peer counts as up.
-func (g *Group) patience() time.Duration {
-	return max(4*g.o.Beat, 2*g.o.Timeout)
+// peerTimeout is how long a silent peer counts as up.
+func (g *Group) peerTimeout() time.Duration {
+	return max(4*g.opts.HeartbeatInterval, 2*g.opts.HeartbeatTimeout)
 }
 
-// Lawful reports whether this process may act on what it holds.
+// Authorized reports whether this process may act on what it holds.
 //
 // It guards against a process that was paused, or cut off, while others took over
 // what it held: both sides would then use the same slots. By the store's lease the
@@ -112,22 +112,22 @@
 // store is away nobody can take anything over, so it goes on, but it can't tell
 // that from being cut off alone: a majority of the view has to answer, all of them
 // without the store as well.
-func (g *Group) Lawful() bool {
+func (g *Group) Authorized() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if now.Before(g.until) {
+	if now.Before(g.authorizedUntil) {
 		return true
 	}
-	if !g.away || !g.member {
+	if !g.storeUnreachable || !g.keyHeld {
 		return false
 	}
 	seconds := 1
 	for _, m := range g.view.members {
-		if m.ID == g.self.ID || !g.up(m.ID, now) {
+		if m.ID == g.self.ID || !g.isUp(m.ID, now) {
 			continue
 		}
-		if !g.theirs[m.ID] {
+		if !g.peersWithoutStore[m.ID] {
 			return false
 		}
 		seconds++
@@ -138,7 +138,7 @@
 // Run keeps the membership until ctx ends, then closes the lease.
 func (g *Group) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){g.keep, g.watch, g.beat} {
+	for _, f := range []func(context.Context){g.renewLoop, g.watchLoop, g.heartbeatLoop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -146,7 +146,7 @@
 		}()
 	}
 	wg.Wait()
-	g.leave()
+	g.closeLease()
 }
 
 // SetState tells the peers a new state of this process; it is written with the next renewal, at once.
@@ -154,74 +154,74 @@
 	g.mu.Lock()
 	g.self.State = s
 	g.mu.Unlock()
-	g.hurry()
+	g.wakeRenewal()
 }
 
-// hurry makes the next renewal happen at once.
-func (g *Group) hurry() {
+// wakeRenewal makes the next renewal happen at once.
+func (g *Group) wakeRenewal() {
 	select {
-	case g.nudge <- struct{}{}:
+	case g.renewWake <- struct{}{}:
 	default:
 	}
 }
 
-// keep renews the lease at a third of its time, and joins anew when it has lapsed.
-func (g *Group) keep(ctx context.Context) {
+// renewLoop renews the lease at a third of its time, and joins anew when it has lapsed.
+func (g *Group) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := g.o.Lease / 3
-		if err := g.renew(ctx); err != nil && ctx.Err() == nil {
-			g.o.Log.V(0).Info("membership not renewed", "err", err.Error())
-			wait = g.o.Lease / 10
+		wait := g.opts.LeaseTTL / 3
+		if err := g.renewMembership(ctx); err != nil && ctx.Err() == nil {
+			g.opts.Log.V(0).Info("membership not renewed", "err", err.Error())
+			wait = g.opts.LeaseTTL / 10
 		}
 		t := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
-		case <-g.nudge:
+		case <-g.renewWake:
 		case <-t.C:
 		}
 		t.Stop()
 	}
 }
 
-func (g *Group) renew(ctx context.Context) error {
+func (g *Group) renewMembership(ctx context.Context) error {
 	g.mu.Lock()
-	lease, self := g.lease, g.self
+	lease, self := g.leaseID, g.self
 	g.mu.Unlock()
 	sent := time.Now()
 	var err error
 	if lease == "" {
-		lease, err = g.o.Store.Open(ctx, g.o.Lease)
+		lease, err = g.opts.Store.OpenLease(ctx, g.opts.LeaseTTL)
 	} else {
-		err = g.o.Store.Renew(ctx, lease)
+		err = g.opts.Store.RenewLease(ctx, lease)
 	}
-	if errors.Is(err, store.ErrLapsed) {
+	if errors.Is(err, store.ErrLeaseNotFound) {
 		g.mu.Lock()
-		g.lease, g.member, g.until = "", false, time.Time{}
+		g.leaseID, g.keyHeld, g.authorizedUntil = "", false, time.Time{}
 		g.mu.Unlock()
-		return g.renew(ctx)
+		return g.renewMembership(ctx)
 	}
 	if err == nil {
 		g.mu.Lock()
 		// Kept even if the key isn't: a write whose answer is lost may hold the key for it.
-		g.lease = lease
+		g.leaseID = lease
 		g.mu.Unlock()
-		err = g.hold(ctx, lease, self)
+		err = g.writeKey(ctx, lease, self)
 	}
 	g.mu.Lock()
-	g.away = err != nil
-	anew := err == nil && !g.member
+	g.storeUnreachable = err != nil
+	anew := err == nil && !g.keyHeld
 	if err == nil {
-		g.member = true
+		g.keyHeld = true
 		// Reckoned from before the renewal was sent, less a margin for clocks that
 		// run at different rates.
-		g.until = sent.Add(g.o.Lease - g.o.Lease/10)
+		g.authorizedUntil = sent.Add(g.opts.LeaseTTL - g.opts.LeaseTTL/10)
 	}
 	if anew {
-		g.joined = time.Now()
+		g.joinedAt = time.Now()
 	}
 	g.mu.Unlock()
-	if anew && g.o.Joined != nil {
-		g.o.Joined()
+	if anew && g.opts.OnJoin != nil {
+		g.opts.OnJoin()
 	}
 	return err
 }
@@ -230,15 +230,15 @@
 func (g *Group) JoinedAt() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.joined
+	return g.joinedAt
 }
 
-// hold writes this process's key when the view lacks it or shows it otherwise.
+// writeKey writes this process's key when the view lacks it or shows it otherwise.
 //
 // A key that the view shows under another lease is an old one: it is gone already or lapses
 // with that lease, and others then take over what this process holds.
-func (g *Group) hold(ctx context.Context, lease string, self Member) error {
-	if v := g.View(); v.leases[self.ID] == lease {
+func (g *Group) writeKey(ctx context.Context, lease string, self Member) error {
+	if v := g.View(); v.leaseIDs[self.ID] == lease {
 		if m, ok := v.Get(self.ID); ok && m == self {
 			return nil
 		}
@@ -247,34 +247,34 @@
 	if err != nil {
 		return errors.Wrap(err, "member")
 	}
-	return g.o.Store.Hold(ctx, lease, prefix+self.ID, value)
+	return g.opts.Store.Acquire(ctx, lease, keyPrefix+self.ID, value)
 }
 
-// watch follows the members in the store.
-func (g *Group) watch(ctx context.Context) {
+// watchLoop follows the members in the store.
+func (g *Group) watchLoop(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
-		p, err := g.o.Store.List(ctx, prefix, after, g.o.Wait)
+		p, err := g.opts.Store.List(ctx, keyPrefix, after, g.opts.WatchTimeout)
 		if err != nil {
-			g.setAway(ctx)
-			wait.For(ctx, g.o.Lease/10)
+			g.markStoreUnreachable(ctx)
+			wait.For(ctx, g.opts.LeaseTTL/10)
 			continue
 		}
 		after = p.Rev
-		g.adopt(newView(p))
+		g.applyView(decodeView(p))
 	}
 }
 
-func (g *Group) setAway(ctx context.Context) {
+func (g *Group) markStoreUnreachable(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.away = true
+	g.storeUnreachable = true
 }
 
-func (g *Group) adopt(v View) {
+func (g *Group) applyView(v View) {
 	g.mu.Lock()
 	if v.epoch <= g.view.epoch {
 		g.mu.Unlock()
@@ -287,52 +287,52 @@
 	for _, m := range v.members {
 		addrs = append(addrs, m.Addr)
 	}
-	g.o.Links.Keep(addrs)
+	g.opts.Links.CloseExcept(addrs)
 	if _, ok := v.Get(self.ID); !ok {
-		g.hurry()
+		g.wakeRenewal()
 	}
-	g.o.Log.Info("view changed", "epoch", v.epoch, "members", len(v.members))
-	if g.o.Changed != nil {
-		g.o.Changed(v)
+	g.opts.Log.Info("view changed", "epoch", v.epoch, "members", len(v.members))
+	if g.opts.OnViewChange != nil {
+		g.opts.OnViewChange(v)
 	}
 }
 
-// beat exchanges heartbeats with the peers whose ids are higher; the others call here.
+// heartbeatLoop exchanges heartbeats with the peers whose ids are higher; the others call here.
 // One exchange tells both sides.
-func (g *Group) beat(ctx context.Context) {
+func (g *Group) heartbeatLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	busy := &flags{}
+	busy := &nameSet{}
 	told := map[string]time.Time{}
-	var last map[string]Load
+	var last map[string]ServiceLoad
 	for ctx.Err() == nil {
-		load := g.load()
+		load := g.currentLoad()
 		changed := !maps.Equal(load, last)
 		last = load
 		now := time.Now()
 		for _, m := range g.View().Members() {
 			// With nothing new to tell, a beat now and then shows that both are there.
-			if m.ID <= g.o.Self.ID || !changed && now.Sub(told[m.ID]) < g.o.Timeout/2 || !busy.set(m.ID) {
+			if m.ID <= g.opts.Self.ID || !changed && now.Sub(told[m.ID]) < g.opts.HeartbeatTimeout/2 || !busy.add(m.ID) {
 				continue
 			}
 			told[m.ID] = now
 			wg.Go(func() {
-				defer busy.clear(m.ID)
-				g.beatTo(ctx, m)
+				defer busy.remove(m.ID)
+				g.sendHeartbeat(ctx, m)
 			})
 		}
-		wait.For(ctx, g.o.Beat)
+		wait.For(ctx, g.opts.HeartbeatInterval)
 	}
 }
 
-// flags marks names, each until it is cleared; the zero value marks none.
-type flags struct {
+// nameSet marks names, each until it is cleared; the zero value marks none.
+type nameSet struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// set marks the name and reports whether it wasn't marked before.
-func (f *flags) set(name string) bool {
+// add marks the name and reports whether it wasn't marked before.
+func (f *nameSet) add(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.names == nil {
@@ -343,80 +343,80 @@
 	return !old
 }
 
-func (f *flags) clear(name string) {
+func (f *nameSet) remove(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.names, name)
 }
 
-func (g *Group) beatTo(ctx context.Context, m Member) {
-	cctx, cancel := context.WithTimeout(ctx, g.o.Timeout)
+func (g *Group) sendHeartbeat(ctx context.Context, m Member) {
+	cctx, cancel := context.WithTimeout(ctx, g.opts.HeartbeatTimeout)
 	defer cancel()
-	b, err := link.Call[Beat, Beat](cctx, g.o.Links.To(m.Addr), "Peer.Beat", g.Beat())
+	b, err := link.Call[Heartbeat, Heartbeat](cctx, g.opts.Links.Get(m.Addr), "Peer.Beat", g.Heartbeat())
 	if err == nil && b.ID == m.ID {
-		g.Hear(b)
+		g.HandleHeartbeat(b)
 	}
 }
 
-func (g *Group) load() map[string]Load {
-	if g.o.Load == nil {
+func (g *Group) currentLoad() map[string]ServiceLoad {
+	if g.opts.CurrentLoad == nil {
 		return nil
 	}
-	return g.o.Load()
+	return g.opts.CurrentLoad()
 }
 
-// Beat returns the heartbeat that tells of this process now.
-func (g *Group) Beat() Beat {
-	load := g.load()
+// Heartbeat returns the heartbeat that tells of this process now.
+func (g *Group) Heartbeat() Heartbeat {
+	load := g.currentLoad()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Beat{g.self.ID, g.view.epoch, g.away, load}
+	return Heartbeat{g.self.ID, g.view.epoch, g.storeUnreachable, load}
 }
 
-// Hear takes in a peer's heartbeat.
-func (g *Group) Hear(b Beat) {
+// HandleHeartbeat takes in a peer's heartbeat.
+func (g *Group) HandleHeartbeat(b Heartbeat) {
 	g.mu.Lock()
 	_, known := g.view.Get(b.ID)
 	if known {
-		g.heard[b.ID] = time.Now()
+		g.lastHeard[b.ID] = time.Now()
 	}
-	back := known && g.away && !b.Away && g.theirs[b.ID]
+	back := known && g.storeUnreachable && !b.Away && g.peersWithoutStore[b.ID]
 	if known {
-		g.theirs[b.ID] = b.Away
+		g.peersWithoutStore[b.ID] = b.Away
 	}
 	g.mu.Unlock()
 	if back {
 		// The store may be back. Until this process has renewed its lease it can't tell
 		// that from being the only one cut off, and stands still.
-		g.hurry()
+		g.wakeRenewal()
 	}
-	if known && g.o.Heard != nil {
-		g.o.Heard(b.ID, b.Load)
+	if known && g.opts.OnPeerLoad != nil {
+		g.opts.OnPeerLoad(b.ID, b.Load)
 	}
 }
 
-// Abandon makes the end of Run leave the lease to lapse by itself, as a process that
+// AbandonLease makes the end of Run leave the lease to lapse by itself, as a process that
 // dies would.
-func (g *Group) Abandon() {
+func (g *Group) AbandonLease() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.abandoned = true
 }
 
-func (g *Group) leave() {
+func (g *Group) closeLease() {
 	g.mu.Lock()
-	lease := g.lease
+	lease := g.leaseID
 	if g.abandoned {
 		lease = ""
 	}
-	g.lease, g.member, g.until = "", false, time.Time{}
+	g.leaseID, g.keyHeld, g.authorizedUntil = "", false, time.Time{}
 	g.mu.Unlock()
 	if lease == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), g.o.Timeout*2)
+	ctx, cancel := context.WithTimeout(context.Background(), g.opts.HeartbeatTimeout*2)
 	defer cancel()
-	if err := g.o.Store.Close(ctx, lease); err != nil {
-		g.o.Log.Info("lease not closed; it lapses by itself", "err", err.Error())
+	if err := g.opts.Store.CloseLease(ctx, lease); err != nil {
+		g.opts.Log.Info("lease not closed; it lapses by itself", "err", err.Error())
 	}
 }
--- a/internal/peer/member/view.go
+++ b/internal/peer/member/view.go
@@ -29,20 +29,20 @@
 
 // View is the membership at one revision of the store.
 type View struct {
-	epoch   uint64
-	members []Member
-	leases  map[string]string // that hold the members' keys, by id
+	epoch    uint64
+	members  []Member
+	leaseIDs map[string]string // that hold the members' keys, by id
 }
 
-const prefix = "member/"
+const keyPrefix = "member/"
 
-func newView(p store.Page) View {
-	v := View{epoch: p.Rev, leases: map[string]string{}}
+func decodeView(p store.Listing) View {
+	v := View{epoch: p.Rev, leaseIDs: map[string]string{}}
 	for _, e := range p.Entries {
 		var m Member
-		if json.Unmarshal(e.Value, &m) == nil && m.ID == strings.TrimPrefix(e.Key, prefix) {
+		if json.Unmarshal(e.Value, &m) == nil && m.ID == strings.TrimPrefix(e.Key, keyPrefix) {
 			v.members = append(v.members, m)
-			v.leases[m.ID] = e.Lease
+			v.leaseIDs[m.ID] = e.Lease
 		}
 	}
 	slices.SortFunc(v.members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -72,8 +72,8 @@
 	return Member{}, false
 }
 
-// Live returns the ids of the members that aren't leaving, in order.
-func (v View) Live() []string {
+// LiveIDs returns the ids of the members that aren't leaving, in order.
+func (v View) LiveIDs() []string {
 	var ids []string
 	for _, m := range v.members {
 		if m.State != StateLeaving {
@@ -83,34 +83,34 @@
 	return ids
 }
 
-// Home returns the live member that a key belongs to, leaving out those in not;
+// HomeOf returns the live member that a key belongs to, leaving out those in not;
 // every process with the same view names the same one, and a member's coming or
 // going moves only the keys that are or were its own.
-func (v View) Home(key string, not ...string) (Member, bool) {
+func (v View) HomeOf(key string, not ...string) (Member, bool) {
 	var best Member
 	var top uint64
 	for _, m := range v.members {
 		if m.State == StateLeaving || slices.Contains(not, m.ID) {
 			continue
 		}
-		if s := score(m.ID, key); best.ID == "" || s > top {
+		if s := rendezvousScore(m.ID, key); best.ID == "" || s > top {
 			best, top = m, s
 		}
 	}
 	return best, best.ID != ""
 }
 
-func score(id, key string) uint64 {
+func rendezvousScore(id, key string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(key))
-	return mix(h.Sum64())
+	return mixBits(h.Sum64())
 }
 
-// mix spreads FNV's weakly mixed low bits over the whole word, so that ranks by
+// mixBits spreads FNV's weakly mixed low bits over the whole word, so that ranks by
 // score are even among members.
-func mix(x uint64) uint64 {
+func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/internal/plat/hosts/hosts.go
+++ b/internal/plat/hosts/hosts.go
@@ -40,8 +40,8 @@
 // ErrRead says that the list could not be read; the last one read stays in use.
 var ErrRead = errors.New("hosts: list not read")
 
-// maxList is the largest list in bytes that is read.
-const maxList = 64 << 20
+// maxListSize is the largest list in bytes that is read.
+const maxListSize = 64 << 20
 
 // Read fetches the list from url.
 func Read(ctx context.Context, c *http.Client, url string) ([]Host, error) {
@@ -58,7 +58,7 @@
 		return nil, errors.Wrap(ErrRead, resp.Status)
 	}
 	var rows []Host
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&rows); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListSize)).Decode(&rows); err != nil {
 		return nil, errors.Wrap(ErrRead, err.Error())
 	}
 	return rows, nil
--- a/internal/plat/store/http.go
+++ b/internal/plat/store/http.go
@@ -18,8 +18,8 @@
 // HTTP is a Store that speaks the platform's HTTP interface: blocking reads by
 // index, conditional writes by revision, and sessions with a time to live.
 type HTTP struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
 // NewHTTP returns a client of the service at base (such as http://10.0.0.1:8500);
@@ -27,24 +27,24 @@
 func NewHTTP(base string, timeout time.Duration) *HTTP {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.ResponseHeaderTimeout = 0
-	t.MaxIdleConnsPerHost = idleConns
-	return &HTTP{base: strings.TrimRight(base, "/"), client: &http.Client{Transport: &deadline{timeout, t}}}
+	t.MaxIdleConnsPerHost = maxIdleConns
+	return &HTTP{baseURL: strings.TrimRight(base, "/"), client: &http.Client{Transport: &timeoutTransport{timeout, t}}}
 }
 
 const (
-	idleConns   = 8
-	indexHeader = "X-Consul-Index"
-	maxPage     = 64 << 20
+	maxIdleConns    = 8
+	indexHeader     = "X-Consul-Index"
+	maxResponseSize = 64 << 20
 )
 
-// deadline bounds every exchange in time, adding the wait that a watch asks for.
-type deadline struct {
-	limit time.Duration
-	next  http.RoundTripper
+// timeoutTransport bounds every exchange in time, adding the wait that a watch asks for.
+type timeoutTransport struct {
+	timeout time.Duration
+	next    http.RoundTripper
 }
 
-func (d *deadline) RoundTrip(r *http.Request) (*http.Response, error) {
-	limit := d.limit
+func (d *timeoutTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	limit := d.timeout
 	if w, err := time.ParseDuration(r.URL.Query().Get("wait")); err == nil {
 		limit += w
 	}
@@ -70,7 +70,7 @@
 
 // Get implements Store.
 func (h *HTTP) Get(ctx context.Context, key string) (Entry, error) {
-	p, err := h.read(ctx, key, url.Values{})
+	p, err := h.getEntries(ctx, key, url.Values{})
 	if err != nil {
 		return Entry{}, err
 	}
@@ -81,25 +81,25 @@
 }
 
 // List implements Store.
-func (h *HTTP) List(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error) {
+func (h *HTTP) List(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error) {
 	q := url.Values{"recurse": {""}}
 	if after > 0 && wait > 0 {
 		q.Set("index", strconv.FormatUint(after, 10))
 		q.Set("wait", wait.String())
 	}
-	return h.read(ctx, prefix, q)
+	return h.getEntries(ctx, prefix, q)
 }
 
-func (h *HTTP) read(ctx context.Context, key string, q url.Values) (Page, error) {
+func (h *HTTP) getEntries(ctx context.Context, key string, q url.Values) (Listing, error) {
 	resp, body, err := h.call(ctx, http.MethodGet, "/v1/kv/"+key, q, nil)
 	if err != nil {
-		return Page{}, err
+		return Listing{}, err
 	}
 	rev, err := strconv.ParseUint(resp.Header.Get(indexHeader), 10, 64)
 	if err != nil {
-		return Page{}, errors.Wrap(ErrUnknown, "answer without index")
+		return Listing{}, errors.Wrap(ErrOutcomeUnknown, "answer without index")
 	}
-	page := Page{Rev: rev}
+	page := Listing{Rev: rev}
 	if resp.StatusCode == http.StatusNotFound {
 		return page, nil
 	}
@@ -110,7 +110,7 @@
 		Session     string
 	}
 	if err := json.Unmarshal(body, &rows); err != nil {
-		return Page{}, errors.Wrap(ErrUnknown, err.Error())
+		return Listing{}, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	for _, r := range rows {
 		page.Entries = append(page.Entries, Entry{r.Key, r.Value, r.ModifyIndex, r.Session})
@@ -120,25 +120,25 @@
 
 // Swap implements Store.
 func (h *HTTP) Swap(ctx context.Context, key string, value []byte, rev uint64) error {
-	if len(value) > MaxValue {
-		return errors.Errorf("store: value of %d bytes exceeds %d", len(value), MaxValue)
+	if len(value) > MaxValueSize {
+		return errors.Errorf("store: value of %d bytes exceeds %d", len(value), MaxValueSize)
 	}
 	q := url.Values{"cas": {strconv.FormatUint(rev, 10)}}
-	return h.decide(ctx, http.MethodPut, key, q, value)
+	return h.callConditional(ctx, http.MethodPut, key, q, value)
 }
 
 // Delete implements Store.
 func (h *HTTP) Delete(ctx context.Context, key string, rev uint64) error {
 	q := url.Values{"cas": {strconv.FormatUint(rev, 10)}}
-	return h.decide(ctx, http.MethodDelete, key, q, nil)
+	return h.callConditional(ctx, http.MethodDelete, key, q, nil)
 }
 
-// Hold implements Store.
-func (h *HTTP) Hold(ctx context.Context, lease, key string, value []byte) error {
-	return h.decide(ctx, http.MethodPut, key, url.Values{"acquire": {lease}}, value)
+// Acquire implements Store.
+func (h *HTTP) Acquire(ctx context.Context, lease, key string, value []byte) error {
+	return h.callConditional(ctx, http.MethodPut, key, url.Values{"acquire": {lease}}, value)
 }
 
-func (h *HTTP) decide(ctx context.Context, method, key string, q url.Values, value []byte) error {
+func (h *HTTP) callConditional(ctx context.Context, method, key string, q url.Values, value []byte) error {
 	_, body, err := h.call(ctx, method, "/v1/kv/"+key, q, value)
 	if err != nil {
 		return err
@@ -149,11 +149,11 @@
 	case "false":
 		return ErrConflict
 	}
-	return errors.Wrap(ErrUnknown, "answer is neither true nor false")
+	return errors.Wrap(ErrOutcomeUnknown, "answer is neither true nor false")
 }
 
-// Open implements Store.
-func (h *HTTP) Open(ctx context.Context, ttl time.Duration) (string, error) {
+// OpenLease implements Store.
+func (h *HTTP) OpenLease(ctx context.Context, ttl time.Duration) (string, error) {
 	req, _ := json.Marshal(struct{ TTL, Behavior string }{ttl.String(), "delete"})
 	_, body, err := h.call(ctx, http.MethodPut, "/v1/session/create", nil, req)
 	if err != nil {
@@ -161,34 +161,34 @@
 	}
 	var out struct{ ID string }
 	if err := json.Unmarshal(body, &out); err != nil || out.ID == "" {
-		return "", errors.Wrap(ErrUnknown, "session without id")
+		return "", errors.Wrap(ErrOutcomeUnknown, "session without id")
 	}
 	return out.ID, nil
 }
 
-// Renew implements Store.
-func (h *HTTP) Renew(ctx context.Context, lease string) error {
-	return h.session(ctx, "renew", lease)
+// RenewLease implements Store.
+func (h *HTTP) RenewLease(ctx context.Context, lease string) error {
+	return h.callSession(ctx, "renew", lease)
 }
 
-// Close implements Store.
-func (h *HTTP) Close(ctx context.Context, lease string) error {
-	return h.session(ctx, "destroy", lease)
+// CloseLease implements Store.
+func (h *HTTP) CloseLease(ctx context.Context, lease string) error {
+	return h.callSession(ctx, "destroy", lease)
 }
 
-func (h *HTTP) session(ctx context.Context, verb, lease string) error {
+func (h *HTTP) callSession(ctx context.Context, verb, lease string) error {
 	resp, _, err := h.call(ctx, http.MethodPut, "/v1/session/"+verb+"/"+lease, nil, nil)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode == http.StatusNotFound {
-		return ErrLapsed
+		return ErrLeaseNotFound
 	}
 	return nil
 }
 
 func (h *HTTP) call(ctx context.Context, method, path string, q url.Values, body []byte) (*http.Response, []byte, error) {
-	u := h.base + path
+	u := h.baseURL + path
 	if len(q) > 0 {
 		u += "?" + q.Encode()
 	}
@@ -198,15 +198,15 @@
 	}
 	resp, err := h.client.Do(req)
 	if err != nil {
-		return nil, nil, errors.Wrap(ErrUnknown, err.Error())
+		return nil, nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxPage))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
-		return nil, nil, errors.Wrap(ErrUnknown, err.Error())
+		return nil, nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusNotFound {
-		return nil, nil, errors.Wrap(ErrUnknown, fmt.Sprintf("status %d", resp.StatusCode))
+		return nil, nil, errors.Wrap(ErrOutcomeUnknown, fmt.Sprintf("status %d", resp.StatusCode))
 	}
 	return resp, data, nil
 }
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -14,14 +14,14 @@
 	ErrNotFound = errors.New("store: key not found")
 	// ErrConflict says that the compare-and-swap saw another revision and changed nothing.
 	ErrConflict = errors.New("store: revision conflict")
-	// ErrLapsed says that the lease is unknown to the service: it has expired or was closed.
-	ErrLapsed = errors.New("store: lease lapsed")
-	// ErrUnknown says that no answer came back, so a write may or may not have taken effect.
-	ErrUnknown = errors.New("store: outcome unknown")
+	// ErrLeaseNotFound says that the lease is unknown to the service: it has expired or was closed.
+	ErrLeaseNotFound = errors.New("store: lease lapsed")
+	// ErrOutcomeUnknown says that no answer came back, so a write may or may not have taken effect.
+	ErrOutcomeUnknown = errors.New("store: outcome unknown")
 )
 
-// MaxValue is the largest value, in bytes, that the service holds.
-const MaxValue = 1 << 20
+// MaxValueSize is the largest value, in bytes, that the service holds.
+const MaxValueSize = 1 << 20
 
 // Entry is one key as read, with the revision at which it was last written.
 type Entry struct {
@@ -31,8 +31,8 @@
 	Lease string
 }
 
-// Page is the answer to a List: the entries and the service's revision at that time.
-type Page struct {
+// Listing is the answer to a List: the entries and the service's revision at that time.
+type Listing struct {
 	Entries []Entry
 	Rev     uint64
 }
@@ -43,22 +43,22 @@
 	// Get reads one key; ErrNotFound when it is absent.
 	Get(ctx context.Context, key string) (Entry, error)
 	// List reads every key below prefix, waiting up to wait for a revision above after.
-	List(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error)
+	List(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error)
 	// Swap writes value if the key's revision is still rev, where 0 means absent.
 	Swap(ctx context.Context, key string, value []byte, rev uint64) error
 	// Delete removes the key if its revision is still rev.
 	Delete(ctx context.Context, key string, rev uint64) error
-	// Open creates a lease that expires when it isn't renewed for ttl.
-	Open(ctx context.Context, ttl time.Duration) (string, error)
-	// Renew extends the lease by its ttl; ErrLapsed when it is gone.
-	Renew(ctx context.Context, lease string) error
-	// Close ends the lease at once and deletes the keys it holds.
-	Close(ctx context.Context, lease string) error
-	// Hold writes a key that is deleted together with the lease; ErrConflict when another lease holds it.
-	Hold(ctx context.Context, lease, key string, value []byte) error
+	// OpenLease creates a lease that expires when it isn't renewed for ttl.
+	OpenLease(ctx context.Context, ttl time.Duration) (string, error)
+	// RenewLease extends the lease by its ttl; ErrLapsed when it is gone.
+	RenewLease(ctx context.Context, lease string) error
+	// CloseLease ends the lease at once and deletes the keys it holds.
+	CloseLease(ctx context.Context, lease string) error
+	// Acquire writes a key that is deleted together with the lease; ErrConflict when another lease holds it.
+	Acquire(ctx context.Context, lease, key string, value []byte) error
 }
 
-// Settle makes a Swap whose answer was lost certain: it repeats the same
+// SwapWithRetry makes a Swap whose answer was lost certain: it repeats the same
 // compare-and-swap and, on a conflict, reads back and asks mine whether the stored
 // value contains this write.
 //
@@ -67,32 +67,32 @@
 // for a change that is in force. Repeating is safe because the revision in the
 // condition lets at most one of the copies through. By the time of the reading back
 // others may have built on this write; so mine should know it in their values too.
-func Settle(ctx context.Context, s Store, key string, value []byte, rev uint64, mine func(stored []byte) bool) error {
+func SwapWithRetry(ctx context.Context, s Store, key string, value []byte, rev uint64, mine func(stored []byte) bool) error {
 	for {
 		err := s.Swap(ctx, key, value, rev)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, ErrConflict):
-			return settled(ctx, s, key, mine)
-		case !errors.Is(err, ErrUnknown):
+			return resolveConflict(ctx, s, key, mine)
+		case !errors.Is(err, ErrOutcomeUnknown):
 			return err
 		}
-		if !wait.For(ctx, retryPause) {
-			return errors.Wrap(ErrUnknown, ctx.Err().Error())
+		if !wait.For(ctx, retryDelay) {
+			return errors.Wrap(ErrOutcomeUnknown, ctx.Err().Error())
 		}
 	}
 }
 
-// Same returns a mine for Settle that knows only the value itself. It's enough where a
+// ValueEquals returns a mine for Settle that knows only the value itself. It's enough where a
 // conflict, true or not, leads to reading everything anew.
-func Same(value []byte) func([]byte) bool {
+func ValueEquals(value []byte) func([]byte) bool {
 	return func(stored []byte) bool { return string(stored) == string(value) }
 }
 
-const retryPause = 50 * time.Millisecond
+const retryDelay = 50 * time.Millisecond
 
-func settled(ctx context.Context, s Store, key string, mine func([]byte) bool) error {
+func resolveConflict(ctx context.Context, s Store, key string, mine func([]byte) bool) error {
 	for {
 		e, err := s.Get(ctx, key)
 		switch {
@@ -100,11 +100,11 @@
 			return nil
 		case err == nil, errors.Is(err, ErrNotFound):
 			return ErrConflict
-		case !errors.Is(err, ErrUnknown):
+		case !errors.Is(err, ErrOutcomeUnknown):
 			return err
 		}
-		if !wait.For(ctx, retryPause) {
-			return errors.Wrap(ErrUnknown, ctx.Err().Error())
+		if !wait.For(ctx, retryDelay) {
+			return errors.Wrap(ErrOutcomeUnknown, ctx.Err().Error())
 		}
 	}
 }
--- a/internal/plat/store/store_test.go
+++ b/internal/plat/store/store_test.go
@@ -44,7 +44,7 @@
 // What a user would see of a fault: two operators both told that they won, or one told
 // that it lost while its change is in force. The cause would be a lost answer that is
 // settled wrongly. The history must be that of one register.
-func TestSettle(t *testing.T) {
+func TestSwapWithRetry(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	fake := &fakestore.Store{}
 	srv := httptest.NewServer(fake.Handler())
@@ -70,7 +70,7 @@
 				read.Output, read.Return = op{read: string(e.Value)}, int64(time.Since(began))
 				value := string(e.Value) + id
 				swap := porcupine.Operation{ClientId: w, Input: op{swap: true, from: string(e.Value), to: value}, Call: int64(time.Since(began))}
-				err = store.Settle(context.Background(), s, "k", []byte(value), e.Rev, func(stored []byte) bool { return strings.Contains(string(stored), id) })
+				err = store.SwapWithRetry(context.Background(), s, "k", []byte(value), e.Rev, func(stored []byte) bool { return strings.Contains(string(stored), id) })
 				if err != nil && !errors.Is(err, store.ErrConflict) {
 					t.Error(err)
 					return
@@ -96,28 +96,28 @@
 	defer srv.Close()
 	s := store.NewHTTP(srv.URL, time.Second)
 	ctx := context.Background()
-	lease, err := s.Open(ctx, time.Minute)
+	lease, err := s.OpenLease(ctx, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Hold(ctx, lease, "m/a", []byte("x")); err != nil {
+	if err := s.Acquire(ctx, lease, "m/a", []byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	fake.SetDown(true)
-	if err := s.Swap(ctx, "k", []byte("v"), 0); !errors.Is(err, store.ErrUnknown) {
+	if err := s.Swap(ctx, "k", []byte("v"), 0); !errors.Is(err, store.ErrOutcomeUnknown) {
 		t.Errorf("a write while the service is away: %v", err)
 	}
 	fake.SetDown(false)
-	if err := s.Renew(ctx, lease); err != nil {
+	if err := s.RenewLease(ctx, lease); err != nil {
 		t.Errorf("the lease after the outage: %v", err)
 	}
-	if err := s.Close(ctx, lease); err != nil {
+	if err := s.CloseLease(ctx, lease); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Get(ctx, "m/a"); !errors.Is(err, store.ErrNotFound) {
 		t.Errorf("a key whose lease is closed: %v", err)
 	}
-	if err := s.Renew(ctx, lease); !errors.Is(err, store.ErrLapsed) {
+	if err := s.RenewLease(ctx, lease); !errors.Is(err, store.ErrLeaseNotFound) {
 		t.Errorf("a closed lease: %v", err)
 	}
 }
--- a/internal/proc/front/desk.go
+++ b/internal/proc/front/desk.go
@@ -108,7 +108,7 @@
 		switch {
 		case err == nil && !(sent && rep.Result == drive.ResultRefused):
 			return rep
-		case errors.Is(err, link.ErrLost):
+		case errors.Is(err, link.ErrAnswerLost):
 			sent = true
 			d.log.Info("no answer from holder", "holder", holder.Name, "path", a.Path, "cause", err.Error())
 		case !sent && err != nil:
@@ -165,7 +165,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	return link.Call[drive.Request, drive.Reply](ctx, d.links.To(holder.Addr), "Peer.Handle", a)
+	return link.Call[drive.Request, drive.Reply](ctx, d.links.Get(holder.Addr), "Peer.Handle", a)
 }
 
 func (d *Desk) own() *drive.Holder {
--- a/internal/proc/front/host.go
+++ b/internal/proc/front/host.go
@@ -24,7 +24,7 @@
 
 // Outside is how the platform is met: whatever has names and formats of its own.
 type Outside struct {
-	Store     store.Multi
+	Store     store.TxnStore
 	Workers   drive.WorkerClient
 	Codec     drive.Codec
 	Callers   func(*Desk) http.Handler
@@ -158,7 +158,7 @@
 func (h *Host) alive(ctx context.Context, holder lead.Holder) bool {
 	ctx, cancel := context.WithTimeout(ctx, aliveLimit)
 	defer cancel()
-	yes, err := link.Call[int, bool](ctx, h.desk.links.To(holder.Addr), "Peer.Alive", 0)
+	yes, err := link.Call[int, bool](ctx, h.desk.links.Get(holder.Addr), "Peer.Alive", 0)
 	return err == nil && yes
 }
 
--- a/internal/proc/front/peers.go
+++ b/internal/proc/front/peers.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, followLimit)
-		l := p.links.To(h.Addr)
+		l := p.links.Get(h.Addr)
 		_, err := link.Call[string, int](cctx, l, "Peer.Follow", self)
 		cancel()
 		if err == nil {
@@ -117,7 +117,7 @@
 			continue
 		}
 		p.setAway(p.alone(ctx))
-		if misses++; misses >= missesMost && errors.Is(err, link.ErrLost) {
+		if misses++; misses >= missesMost && errors.Is(err, link.ErrAnswerLost) {
 			misses = 0
 			l.Reset()
 		}
@@ -208,7 +208,7 @@
 	answers := make(chan *offer, len(addrs))
 	for _, addr := range addrs {
 		go func() {
-			out, err := link.Call[int, Outlook](ctx, p.links.To(addr), "Peer.Outlook", 0)
+			out, err := link.Call[int, Outlook](ctx, p.links.Get(addr), "Peer.Outlook", 0)
 			if err != nil {
 				answers <- nil
 				return
--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -102,7 +102,7 @@
 		answer(w, http.StatusConflict, Problem{AdminShrunken, err.Error()})
 	case errors.Is(err, sheet.ErrZone):
 		answer(w, http.StatusNotFound, Problem{AdminZone, err.Error()})
-	case errors.Is(err, store.ErrUnknown):
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		answer(w, http.StatusServiceUnavailable, Problem{AdminStore, "the platform's store did not answer; read back before trying again: " + err.Error()})
 	default:
 		answer(w, http.StatusInternalServerError, Problem{AdminStore, err.Error()})
--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -120,18 +120,18 @@
 
 func (n *Node) assemble() {
 	n.group = member.New(member.Options{
-		Self:    member.Member{ID: n.id, Addr: n.addrs[peerLis], Zone: n.s.Zone, State: member.StateLive},
-		Store:   n.store,
-		Links:   n.links,
-		Lease:   n.s.Store.Lease,
-		Wait:    n.s.Store.Wait,
-		Beat:    n.s.Peer.Beat,
-		Timeout: n.s.Peer.Timeout,
-		Log:     n.log,
-		Changed: n.viewChanged,
-		Joined:  n.joined,
-		Load:    n.loads,
-		Heard:   n.heard,
+		Self:              member.Member{ID: n.id, Addr: n.addrs[peerLis], Zone: n.s.Zone, State: member.StateLive},
+		Store:             n.store,
+		Links:             n.links,
+		LeaseTTL:          n.s.Store.Lease,
+		WatchTimeout:      n.s.Store.Wait,
+		HeartbeatInterval: n.s.Peer.Beat,
+		HeartbeatTimeout:  n.s.Peer.Timeout,
+		Log:               n.log,
+		OnViewChange:      n.viewChanged,
+		OnJoin:            n.joined,
+		CurrentLoad:       n.loads,
+		OnPeerLoad:        n.heard,
 	})
 	n.keeper = shard.NewKeeper(shard.Options{
 		Store: n.store, Group: n.group, Wait: n.s.Store.Wait, Items: n.items, Changed: n.tableChanged, Log: n.log,
@@ -144,7 +144,7 @@
 		Buckets: n.s.Worker.Buckets, Lease: n.s.Worker.Lease, Poll: n.s.Worker.Poll, Fresh: n.s.Worker.Fresh,
 		Timeout: n.s.Peer.Timeout, Log: n.log, Scope: n.scope,
 	})
-	n.relay = relay.New(n.s.Limit.Answer, n.group.Lawful)
+	n.relay = relay.New(n.s.Limit.Answer, n.group.Authorized)
 	n.entry = entry.New(n.id, entry.Options{
 		Find: n.find, Homes: n.homes, Relay: n.relay, Limit: n.s.Limit, Log: n.log, Scope: n.scope,
 	})
@@ -220,7 +220,7 @@
 	_ = n.admin.Close()
 	n.lateWG.Wait()
 	n.routes.wait()
-	n.links.Keep(nil)
+	n.links.CloseExcept(nil)
 	n.relay.Close()
 	_ = n.flush.Close()
 	if err := n.traces(ctx); err != nil {
@@ -234,7 +234,7 @@
 	if n.stopping.Swap(true) {
 		return
 	}
-	n.group.Abandon()
+	n.group.AbandonLease()
 	n.cancel()
 	_ = n.callers.Close()
 	n.wg.Wait()
--- a/internal/proc/node/peer.go
+++ b/internal/proc/node/peer.go
@@ -23,9 +23,9 @@
 }
 
 // Beat exchanges heartbeats.
-func (p *Peer) Beat(in member.Beat, out *member.Beat) error {
-	p.n.group.Hear(in)
-	*out = p.n.group.Beat()
+func (p *Peer) Beat(in member.Heartbeat, out *member.Heartbeat) error {
+	p.n.group.HandleHeartbeat(in)
+	*out = p.n.group.Heartbeat()
 	return nil
 }
 
--- a/internal/proc/node/routes.go
+++ b/internal/proc/node/routes.go
@@ -94,7 +94,7 @@
 		Links:   r.n.links,
 		Timeout: r.n.s.Peer.Timeout,
 		Sure:    r.n.keeper.Sure,
-		Lawful:  r.n.group.Lawful,
+		Lawful:  r.n.group.Authorized,
 		Holder:  func(target string) string { return r.n.keeper.Holder(slotTable+name, target) },
 		Probe:   r.n.probe,
 		Log:     r.n.log,
@@ -215,15 +215,15 @@
 }
 
 // loads returns what heartbeats tell of the services here.
-func (n *Node) loads() map[string]member.Load {
-	out := map[string]member.Load{}
+func (n *Node) loads() map[string]member.ServiceLoad {
+	out := map[string]member.ServiceLoad{}
 	for name, rt := range n.routes.all() {
 		out[name] = rt.broker.Load()
 	}
 	return out
 }
 
-func (n *Node) heard(id string, load map[string]member.Load) {
+func (n *Node) heard(id string, load map[string]member.ServiceLoad) {
 	for name, l := range load {
 		if rt := n.routes.get(name); rt != nil {
 			rt.broker.Heard(id, l)
@@ -237,7 +237,7 @@
 	defer t.Stop()
 	ctx, cancel := context.WithTimeout(ctx, handOverFor)
 	defer cancel()
-	for r.owned() > 0 && len(r.n.group.View().Live()) > 0 {
+	for r.owned() > 0 && len(r.n.group.View().LiveIDs()) > 0 {
 		select {
 		case <-ctx.Done():
 			r.n.log.Info("not everything was handed over; the rest moves when the lease is closed", "left", r.owned())
--- a/internal/route/broker/broker.go
+++ b/internal/route/broker/broker.go
@@ -259,7 +259,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), parkFor+b.o.Timeout)
 	defer cancel()
-	rep, err := link.Call[AskArgs, AskReply](ctx, b.o.Links.To(m.Addr), "Peer.Ask",
+	rep, err := link.Call[AskArgs, AskReply](ctx, b.o.Links.Get(m.Addr), "Peer.Ask",
 		AskArgs{b.o.Service, b.core.Self(), a.N, a.Wait})
 	n := 0
 	if early.Stop() {
@@ -373,7 +373,7 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), b.o.Timeout)
-		_, err := link.Call[FreeArgs, bool](ctx, b.o.Links.To(m.Addr), "Peer.Free",
+		_, err := link.Call[FreeArgs, bool](ctx, b.o.Links.Get(m.Addr), "Peer.Free",
 			FreeArgs{b.o.Service, a.Key, a.Target, a.Result})
 		cancel()
 		if err == nil {
@@ -399,15 +399,15 @@
 }
 
 // Load returns what heartbeats tell of this service here.
-func (b *Broker) Load() member.Load {
+func (b *Broker) Load() member.ServiceLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	free, want, wait := b.core.Load(time.Now())
-	return member.Load{Free: free, Want: want, Wait: wait}
+	return member.ServiceLoad{Free: free, Want: want, Wait: wait}
 }
 
 // Heard takes in a peer's heartbeat.
-func (b *Broker) Heard(id string, l member.Load) {
+func (b *Broker) Heard(id string, l member.ServiceLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.do(b.core.Heard(time.Now(), id, l.Free, l.Want, l.Wait))
--- a/internal/route/broker/claim.go
+++ b/internal/route/broker/claim.go
@@ -88,7 +88,7 @@
 	if m, ok := b.o.Group.View().Get(row.Was); ok {
 		cctx, cancel := context.WithTimeout(ctx, b.o.Timeout)
 		defer cancel()
-		rep, err := link.Call[ClaimArgs, ClaimReply](cctx, b.o.Links.To(m.Addr), "Peer.Claim",
+		rep, err := link.Call[ClaimArgs, ClaimReply](cctx, b.o.Links.Get(m.Addr), "Peer.Claim",
 			ClaimArgs{b.o.Service, addr, self, row.Ep})
 		if err != nil || !rep.Absent {
 			return rep.Held, rep.Ghosts, err == nil && rep.OK
@@ -96,7 +96,7 @@
 	}
 	// The view may be older than the table, and the previous holder have joined since. One
 	// that joins after this reading gives up what it owned, and finds the new row.
-	view, err := b.o.Group.Read(ctx)
+	view, err := b.o.Group.ReadView(ctx)
 	if err != nil {
 		return nil, 0, false
 	}
@@ -111,7 +111,7 @@
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, b.o.Timeout)
-		rep, err := link.Call[HeldArgs, HeldReply](cctx, b.o.Links.To(m.Addr), "Peer.Held", in)
+		rep, err := link.Call[HeldArgs, HeldReply](cctx, b.o.Links.Get(m.Addr), "Peer.Held", in)
 		cancel()
 		if err != nil {
 			return nil, 0, false
--- a/internal/route/broker/claim_test.go
+++ b/internal/route/broker/claim_test.go
@@ -21,10 +21,10 @@
 // blind is a store whose watches answer only once.
 type blind struct{ store.Store }
 
-func (b blind) List(ctx context.Context, prefix string, after uint64, hold time.Duration) (store.Page, error) {
+func (b blind) List(ctx context.Context, prefix string, after uint64, hold time.Duration) (store.Listing, error) {
 	if after > 0 && hold > 0 {
 		<-ctx.Done()
-		return store.Page{}, ctx.Err()
+		return store.Listing{}, ctx.Err()
 	}
 	return b.Store.List(ctx, prefix, after, hold)
 }
@@ -79,9 +79,9 @@
 		Service: "registro", Links: links, Timeout: time.Minute, Log: logr.Discard(),
 		Group: member.New(member.Options{
 			Self: member.Member{ID: id, Addr: lis.Addr().String(), State: member.StateLive}, Store: s, Links: links,
-			Lease: time.Hour, Wait: time.Minute, Beat: time.Minute, Timeout: time.Minute, Log: logr.Discard(),
-			Joined:  func() { joined <- struct{}{} },
-			Changed: func(member.View) { wait.Kick(changed) },
+			LeaseTTL: time.Hour, WatchTimeout: time.Minute, HeartbeatInterval: time.Minute, HeartbeatTimeout: time.Minute, Log: logr.Discard(),
+			OnJoin:       func() { joined <- struct{}{} },
+			OnViewChange: func(member.View) { wait.Kick(changed) },
 		}),
 	})
 	server, err := link.NewServer("Peer", &peer{b, asked})
--- a/internal/route/once/home.go
+++ b/internal/route/once/home.go
@@ -104,7 +104,7 @@
 // enter begins the request at the home, or at the witness when this process is the home.
 func (h *Homes) enter(ctx context.Context, id string, print uint64, self string) (Verdict, Record, error) {
 	for range tries {
-		if !h.group.Lawful() {
+		if !h.group.Authorized() {
 			// When the store comes back, one process renews first and the others can't
 			// be sure until they have, too, a moment later.
 			if err := pause(ctx); err != nil {
@@ -113,7 +113,7 @@
 			continue
 		}
 		view := h.group.View()
-		home, ok := view.Home(id)
+		home, ok := view.HomeOf(id)
 		if ok && home.ID == self {
 			if !h.isWarm(view.Epoch()) {
 				if err := pause(ctx); err != nil {
@@ -121,7 +121,7 @@
 				}
 				continue
 			}
-			home, ok = view.Home(id, self)
+			home, ok = view.HomeOf(id, self)
 		}
 		if !ok {
 			return Fresh, Record{}, nil // alone: nobody else could be asked about it either
@@ -143,7 +143,7 @@
 func (h *Homes) call(ctx context.Context, m member.Member, in BeginArgs) (BeginReply, error) {
 	cctx, cancel := context.WithTimeout(ctx, h.limit)
 	defer cancel()
-	return link.Call[BeginArgs, BeginReply](cctx, h.links.To(m.Addr), "Peer.Begin", in)
+	return link.Call[BeginArgs, BeginReply](cctx, h.links.Get(m.Addr), "Peer.Begin", in)
 }
 
 func pause(ctx context.Context) error {
@@ -166,10 +166,10 @@
 func (h *Homes) Serve(in BeginArgs) BeginReply {
 	view := h.group.View()
 	var rep BeginReply
-	if in.Epoch != view.Epoch() || !h.group.Lawful() {
+	if in.Epoch != view.Epoch() || !h.group.Authorized() {
 		return rep
 	}
-	if home, _ := view.Home(in.ID); home.ID == h.group.Self().ID && !h.isWarm(view.Epoch()) {
+	if home, _ := view.HomeOf(in.ID); home.ID == h.group.Self().ID && !h.isWarm(view.Epoch()) {
 		return rep
 	}
 	rep.Ready = true
@@ -201,16 +201,16 @@
 func (h *Homes) tell(in FinishArgs) {
 	self := h.group.Self().ID
 	view := h.group.View()
-	home, ok := view.Home(in.Record.ID)
+	home, ok := view.HomeOf(in.Record.ID)
 	if ok && home.ID == self {
-		home, ok = view.Home(in.Record.ID, self)
+		home, ok = view.HomeOf(in.Record.ID, self)
 	}
 	if !ok {
 		return
 	}
 	for range 3 {
 		ctx, cancel := context.WithTimeout(context.Background(), h.limit)
-		_, err := link.Call[FinishArgs, bool](ctx, h.links.To(home.Addr), "Peer.Finish", in)
+		_, err := link.Call[FinishArgs, bool](ctx, h.links.Get(home.Addr), "Peer.Finish", in)
 		cancel()
 		if err == nil {
 			return
@@ -241,9 +241,9 @@
 	away := h.lost.names()
 	h.mu.Unlock()
 	return PullReply{Ready: true, Blank: h.table.Blank(time.Now()), Away: away, Rows: h.table.Select(func(id string) bool {
-		home, ok := view.Home(id)
+		home, ok := view.HomeOf(id)
 		if ok && home.ID != in.By {
-			home, ok = view.Home(id, home.ID)
+			home, ok = view.HomeOf(id, home.ID)
 		}
 		return ok && home.ID == in.By
 	})}
@@ -283,7 +283,7 @@
 func (h *Homes) pull(ctx context.Context, m member.Member, epoch uint64) bool {
 	cctx, cancel := context.WithTimeout(ctx, 4*h.limit)
 	defer cancel()
-	rep, err := link.Call[PullArgs, PullReply](cctx, h.links.To(m.Addr), "Peer.Pull", PullArgs{epoch, h.group.Self().ID})
+	rep, err := link.Call[PullArgs, PullReply](cctx, h.links.Get(m.Addr), "Peer.Pull", PullArgs{epoch, h.group.Self().ID})
 	if err != nil || !rep.Ready {
 		return false
 	}
