--- a/internal/base/bucket/index_test.go
+++ b/internal/base/bucket/index_test.go
@@ -24,11 +24,11 @@
 		{"from a level", 2, 10, 7, []string{"b", "c", "d"}},
 		{"above all levels", 6, 10, 0, nil},
 	} {
-		got := slices.Sorted(x.Sample(tt.level, tt.limit, tt.offset))
+		got := slices.Sorted(x.SampleAtLeast(tt.level, tt.limit, tt.offset))
 		if !slices.Equal(got, tt.want) {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
-		if n := x.Len(tt.level); n != len(tt.want) {
+		if n := x.CountAtLeast(tt.level); n != len(tt.want) {
 			t.Errorf("%s: %d items, want %d", tt.name, n, len(tt.want))
 		}
 	}
@@ -58,11 +58,11 @@
 				}
 			}
 			slices.Sort(items)
-			if got := slices.Sorted(x.Sample(level, 100, 0)); !slices.Equal(got, items) {
+			if got := slices.Sorted(x.SampleAtLeast(level, 100, 0)); !slices.Equal(got, items) {
 				t.Fatalf("level %d: %v, want %v", level, got, items)
 			}
 			limit := rapid.IntRange(1, 30).Draw(t, "limit")
-			got := slices.Collect(x.Sample(level, limit, rapid.IntRange(0, 50).Draw(t, "offset")))
+			got := slices.Collect(x.SampleAtLeast(level, limit, rapid.IntRange(0, 50).Draw(t, "offset")))
 			if len(got) > 2*limit || len(items) > 0 && len(got) == 0 {
 				t.Fatalf("level %d: %d of %d items for a limit of %d", level, len(got), len(items), limit)
 			}
--- a/internal/base/conf/conf.go
+++ b/internal/base/conf/conf.go
@@ -37,30 +37,30 @@
 
 // Store says where the platform's key-value service is and how it is used.
 type Store struct {
-	URL     string        `toml:"url"`
-	Timeout time.Duration `toml:"timeout"` // of one call
-	Lease   time.Duration `toml:"lease"`   // of this process
-	Wait    time.Duration `toml:"wait"`    // of one watch
+	URL          string        `toml:"url"`
+	Timeout      time.Duration `toml:"timeout"` // of one call
+	LeaseTTL     time.Duration `toml:"lease"`   // of this process
+	WatchTimeout time.Duration `toml:"wait"`    // of one watch
 }
 
 // Hosts says where the host list is and how often it is read.
 type Hosts struct {
-	URL   string        `toml:"url"`
-	Every time.Duration `toml:"every"`
+	URL      string        `toml:"url"`
+	Interval time.Duration `toml:"every"`
 }
 
 // Peer sets the exchange among the entry processes.
 type Peer struct {
-	Beat    time.Duration `toml:"beat"`    // between two heartbeats to a peer
-	Timeout time.Duration `toml:"timeout"` // of one call
+	HeartbeatInterval time.Duration `toml:"beat"`    // between two heartbeats to a peer
+	Timeout           time.Duration `toml:"timeout"` // of one call
 }
 
 // Limit bounds what callers may send and how long.
 type Limit struct {
-	Body   int64         `toml:"body"`   // bytes of a request
-	Answer int64         `toml:"answer"` // bytes of an answer
-	Read   time.Duration `toml:"read"`   // for a request's header and body to arrive
-	Keep   time.Duration `toml:"keep"`   // how long request ids are remembered
+	MaxRequestBytes    int64         `toml:"body"`   // bytes of a request
+	MaxAnswerBytes     int64         `toml:"answer"` // bytes of an answer
+	ReadTimeout        time.Duration `toml:"read"`   // for a request's header and body to arrive
+	RequestIDRetention time.Duration `toml:"keep"`   // how long request ids are remembered
 }
 
 // Stop sets the graceful shutdown.
@@ -86,9 +86,9 @@
 
 // Worker sets how tasks are held on workers.
 type Worker struct {
-	Lease time.Duration `toml:"lease"` // of a worker's tasks, renewed at a third of it
-	Poll  time.Duration `toml:"poll"`  // between two reports
-	Fresh time.Duration `toml:"fresh"` // age of the last confirmed configuration up to which tasks start
+	LeaseTTL     time.Duration `toml:"lease"` // of a worker's tasks, renewed at a third of it
+	PollInterval time.Duration `toml:"poll"`  // between two reports
+	MaxConfigAge time.Duration `toml:"fresh"` // age of the last confirmed configuration up to which tasks start
 	// Buckets is the number of records that jobs are spread over. It is the same in every
 	// process and stays as it is: a job is found by it.
 	Buckets int `toml:"buckets"`
@@ -110,11 +110,11 @@
 
 const maxBuckets = 1000
 
-// Faults lists everything that is wrong with a file, each with its key and, where known, its line.
-type Faults []string
+// Errors lists everything that is wrong with a file, each with its key and, where known, its line.
+type Errors []string
 
 // Error returns the faults, one a line.
-func (f Faults) Error() string {
+func (f Errors) Error() string {
 	return "conf: " + strings.Join(f, "\nconf: ")
 }
 
@@ -131,7 +131,7 @@
 func Parse(text string) (Settings, error) {
 	s := Default()
 	faults := Decode(text, &s)
-	faults = append(faults, s.check()...)
+	faults = append(faults, s.validate()...)
 	if len(faults) > 0 {
 		return Settings{}, faults
 	}
@@ -139,24 +139,24 @@
 }
 
 // Decode reads TOML into out and returns a fault for each syntax error and unknown key.
-func Decode(text string, out any) Faults {
+func Decode(text string, out any) Errors {
 	meta, err := toml.Decode(text, out)
 	var perr toml.ParseError
 	if errors.As(err, &perr) {
-		return Faults{fmt.Sprintf("line %d: %s: %s", perr.Position.Line, perr.LastKey, perr.Message)}
+		return Errors{fmt.Sprintf("line %d: %s: %s", perr.Position.Line, perr.LastKey, perr.Message)}
 	}
 	if err != nil {
-		return Faults{err.Error()}
+		return Errors{err.Error()}
 	}
-	var faults Faults
+	var faults Errors
 	for _, k := range meta.Undecoded() {
-		faults = append(faults, fmt.Sprintf("line %d: %s: unknown key", Line(text, k[len(k)-1]), k))
+		faults = append(faults, fmt.Sprintf("line %d: %s: unknown key", LineOfKey(text, k[len(k)-1]), k))
 	}
 	return faults
 }
 
-// Line returns the number of the first line of text on which word stands as a key or table, or 0.
-func Line(text, word string) int {
+// LineOfKey returns the number of the first line of text on which word stands as a key or table, or 0.
+func LineOfKey(text, word string) int {
 	for i, l := range strings.Split(text, "\n") {
 		l = strings.TrimLeft(l, " \t[")
 		if rest, ok := strings.CutPrefix(l, word); ok {
@@ -168,8 +168,8 @@
 	return 0
 }
 
-func (s Settings) check() Faults {
-	var f Faults
+func (s Settings) validate() Errors {
+	var f Errors
 	for _, a := range []struct{ key, addr string }{
 		{"listen.caller", s.Listen.Caller}, {"listen.peer", s.Listen.Peer}, {"listen.admin", s.Listen.Admin},
 	} {
@@ -186,31 +186,31 @@
 		key string
 		d   time.Duration
 	}{
-		{"store.timeout", s.Store.Timeout}, {"store.lease", s.Store.Lease}, {"store.wait", s.Store.Wait},
-		{"hosts.every", s.Hosts.Every}, {"peer.beat", s.Peer.Beat}, {"peer.timeout", s.Peer.Timeout},
-		{"limit.read", s.Limit.Read}, {"limit.keep", s.Limit.Keep}, {"stop.grace", s.Stop.Grace},
-		{"worker.lease", s.Worker.Lease}, {"worker.poll", s.Worker.Poll}, {"worker.fresh", s.Worker.Fresh},
+		{"store.timeout", s.Store.Timeout}, {"store.lease", s.Store.LeaseTTL}, {"store.wait", s.Store.WatchTimeout},
+		{"hosts.every", s.Hosts.Interval}, {"peer.beat", s.Peer.HeartbeatInterval}, {"peer.timeout", s.Peer.Timeout},
+		{"limit.read", s.Limit.ReadTimeout}, {"limit.keep", s.Limit.RequestIDRetention}, {"stop.grace", s.Stop.Grace},
+		{"worker.lease", s.Worker.LeaseTTL}, {"worker.poll", s.Worker.PollInterval}, {"worker.fresh", s.Worker.MaxConfigAge},
 	} {
 		if d.d <= 0 {
 			f = append(f, fmt.Sprintf("%s: must be above 0, is %s", d.key, d.d))
 		}
 	}
-	if s.Store.Lease < 3*s.Store.Timeout {
+	if s.Store.LeaseTTL < 3*s.Store.Timeout {
 		f = append(f, "store.lease: must be at least three times store.timeout, or one slow call loses the lease")
 	}
-	if s.Limit.Body <= 0 || s.Limit.Answer <= 0 {
+	if s.Limit.MaxRequestBytes <= 0 || s.Limit.MaxAnswerBytes <= 0 {
 		f = append(f, "limit.body, limit.answer: must be above 0")
 	}
 	if s.Worker.Buckets < 1 || s.Worker.Buckets > maxBuckets {
 		f = append(f, fmt.Sprintf("worker.buckets: must be 1 to %d, is %d", maxBuckets, s.Worker.Buckets))
 	}
-	return append(f, s.Log.check()...)
+	return append(f, s.Log.validate()...)
 }
 
-func (l Log) check() Faults {
+func (l Log) validate() Errors {
 	switch l.Level {
 	case "debug", "info", "warn", "error":
 		return nil
 	}
-	return Faults{fmt.Sprintf("log.level: %q is none of debug, info, warn, error", l.Level)}
+	return Errors{fmt.Sprintf("log.level: %q is none of debug, info, warn, error", l.Level)}
 }
--- a/internal/base/conf/conf_test.go
+++ b/internal/base/conf/conf_test.go
@@ -17,7 +17,7 @@
 }
 
 // Every mistake in a file must be named at once, unknown keys with their line.
-func TestFaults(t *testing.T) {
+func TestErrors(t *testing.T) {
 	_, err := Parse(`name = "x"
 colour = "red"
 [listen]
@@ -51,7 +51,7 @@
 func FuzzParse(f *testing.F) {
 	f.Add("[store]\nlease = \"1s\"")
 	f.Fuzz(func(t *testing.T, text string) {
-		if s, err := Parse(text); err == nil && s.Store.Lease < 3*s.Store.Timeout {
+		if s, err := Parse(text); err == nil && s.Store.LeaseTTL < 3*s.Store.Timeout {
 			t.Error("a lease that one slow call loses is accepted")
 		}
 	})
--- a/internal/base/conf/host_test.go
+++ b/internal/base/conf/host_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (conf.HostLimit{Share: 1, Cores: 1, Memory: 1, Files: 1, Link: 1}); h.Limit != want {
+	if want := (conf.HostLimit{CPUShare: 1, CoreSpeed: 1, MemoryMiB: 1, MaxFiles: 1, LinkMbps: 1}); h.Limit != want {
 		t.Errorf("limits %+v, want %+v", h.Limit, want)
 	}
 }
--- a/internal/base/conns/limit.go
+++ b/internal/base/conns/limit.go
@@ -12,9 +12,9 @@
 // DialFunc makes a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// waitMost bounds the wait of a dial for another connection to be closed: short of the time that callers leave for
+// maxDialWait bounds the wait of a dial for another connection to be closed: short of the time that callers leave for
 // an answer, so that they are told that nothing was sent.
-const waitMost = 400 * time.Millisecond
+const maxDialWait = 400 * time.Millisecond
 
 // Limit bounds the connections that are open at a time, of all the dial functions that it has wrapped. When
 // there are as many, idle ones are closed, and a dial waits for its turn. It is safe for concurrent use; a nil Limit sets no
@@ -25,8 +25,8 @@
 type Limit struct {
 	slots *semaphore.Weighted
 
-	mu   sync.Mutex
-	idle []func()
+	mu          sync.Mutex
+	idleClosers []func()
 }
 
 // New returns a limit of most connections, nil if most isn't positive.
@@ -37,18 +37,18 @@
 	return &Limit{slots: semaphore.NewWeighted(int64(most))}
 }
 
-// Idle has closeIdle called when the limit is reached.
-func (l *Limit) Idle(closeIdle func()) {
+// AddIdleCloser has closeIdle called when the limit is reached.
+func (l *Limit) AddIdleCloser(closeIdle func()) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.idle = append(l.idle, closeIdle)
+	l.idleClosers = append(l.idleClosers, closeIdle)
 }
 
-// Wrap returns dial within the limit. Where no connection is closed in time its error is a *net.OpError of a dial.
-func (l *Limit) Wrap(dial DialFunc) DialFunc {
+// WrapDial returns dial within the limit. Where no connection is closed in time its error is a *net.OpError of a dial.
+func (l *Limit) WrapDial(dial DialFunc) DialFunc {
 	if l == nil {
 		return dial
 	}
@@ -61,7 +61,7 @@
 			l.slots.Release(1)
 			return nil, err
 		}
-		return &conn{Conn: c, release: sync.OnceFunc(func() { l.slots.Release(1) })}, nil
+		return &limitedConn{Conn: c, release: sync.OnceFunc(func() { l.slots.Release(1) })}, nil
 	}
 }
 
@@ -69,29 +69,29 @@
 	if l.slots.TryAcquire(1) {
 		return nil
 	}
-	l.closeIdle()
-	ctx, cancel := context.WithTimeout(ctx, waitMost)
+	l.closeIdleConns()
+	ctx, cancel := context.WithTimeout(ctx, maxDialWait)
 	defer cancel()
 	return l.slots.Acquire(ctx, 1)
 }
 
-func (l *Limit) closeIdle() {
+func (l *Limit) closeIdleConns() {
 	l.mu.Lock()
-	idle := l.idle
+	idle := l.idleClosers
 	l.mu.Unlock()
 	for _, f := range idle {
 		f()
 	}
 }
 
-// conn gives its place in the limit back as it is closed.
-type conn struct {
+// limitedConn gives its place in the limit back as it is closed.
+type limitedConn struct {
 	net.Conn
 	release func()
 }
 
 // Close closes the connection.
-func (c *conn) Close() error {
+func (c *limitedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
 }
--- a/internal/base/conns/limit_test.go
+++ b/internal/base/conns/limit_test.go
@@ -11,26 +11,26 @@
 	"github.com/pkg/errors"
 )
 
-// client returns a client that keeps its connections, and how many of them are open.
-func client(l *Limit) (*http.Client, *atomic.Int64) {
+// newClient returns a newClient that keeps its connections, and how many of them are open.
+func newClient(l *Limit) (*http.Client, *atomic.Int64) {
 	var open atomic.Int64
 	tr := &http.Transport{MaxIdleConnsPerHost: 4}
-	tr.DialContext = l.Wrap(func(ctx context.Context, network, addr string) (net.Conn, error) {
+	tr.DialContext = l.WrapDial(func(ctx context.Context, network, addr string) (net.Conn, error) {
 		var d net.Dialer
 		c, err := d.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		open.Add(1)
-		return &conn{Conn: c, release: func() { open.Add(-1) }}, nil
+		return &limitedConn{Conn: c, release: func() { open.Add(-1) }}, nil
 	})
-	l.Idle(tr.CloseIdleConnections)
+	l.AddIdleCloser(tr.CloseIdleConnections)
 	return &http.Client{Transport: tr}, &open
 }
 
-// TestIdleMakeRoom guards against idle connections that take all of a process's descriptors, so that
+// TestIdleConnsClosedAtLimit guards against idle connections that take all of a process's descriptors, so that
 // calls of other peers fail.
-func TestIdleMakeRoom(t *testing.T) {
+func TestIdleConnsClosedAtLimit(t *testing.T) {
 	const most, peers = 3, 10
 	for _, tt := range []struct {
 		name  string
@@ -41,7 +41,7 @@
 		{"no bound", New(0), peers},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			c, open := client(tt.limit)
+			c, open := newClient(tt.limit)
 			for range peers {
 				srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 				defer srv.Close()
@@ -58,10 +58,10 @@
 	}
 }
 
-// TestFull checks that a dial without a place says that nothing was sent, and that a closed connection gives its place back once.
-func TestFull(t *testing.T) {
+// TestDialBeyondLimit checks that a dial without a place says that nothing was sent, and that a closed connection gives its place back once.
+func TestDialBeyondLimit(t *testing.T) {
 	l := New(1)
-	dial := l.Wrap(func(context.Context, string, string) (net.Conn, error) {
+	dial := l.WrapDial(func(context.Context, string, string) (net.Conn, error) {
 		a, _ := net.Pipe()
 		return a, nil
 	})
--- a/internal/base/telem/asyncwriter.go
+++ b/internal/base/telem/asyncwriter.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// Lines is a writer of log lines that never blocks its callers: lines wait in a queue of
+// AsyncWriter is a writer of log lines that never blocks its callers: lines wait in a queue of
 // bounded length, and those that find it full are dropped, counted, and told about later.
-type Lines struct {
-	queue   chan []byte
-	dropped atomic.Int64
-	closing chan struct{}
-	done    chan struct{}
-	once    sync.Once
+type AsyncWriter struct {
+	queue     chan []byte
+	dropped   atomic.Int64
+	closing   chan struct{}
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 const (
-	// lineQueue is how many lines may wait: a second's worth on a busy day.
-	lineQueue = 2000
-	// linePause is how long lines are gathered to be written together.
-	linePause = 20 * time.Millisecond
+	// queueLength is how many lines may wait: a second's worth on a busy day.
+	queueLength = 2000
+	// flushInterval is how long lines are gathered to be written together.
+	flushInterval = 20 * time.Millisecond
 )
 
-// NewLines returns a writer to w; Close writes what waits.
-func NewLines(w io.Writer) *Lines {
-	l := &Lines{queue: make(chan []byte, lineQueue), closing: make(chan struct{}), done: make(chan struct{})}
-	go l.run(w)
+// NewAsyncWriter returns a writer to w; Close writes what waits.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	l := &AsyncWriter{queue: make(chan []byte, queueLength), closing: make(chan struct{}), done: make(chan struct{})}
+	go l.writeLoop(w)
 	return l
 }
 
 // Write takes one line; it always succeeds.
-func (l *Lines) Write(p []byte) (int, error) {
+func (l *AsyncWriter) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
 	case l.queue <- line:
@@ -45,8 +45,8 @@
 }
 
 // Close writes the lines that wait and ends the writer. Nothing may be written after it.
-func (l *Lines) Close() error {
-	l.once.Do(func() {
+func (l *AsyncWriter) Close() error {
+	l.closeOnce.Do(func() {
 		close(l.closing)
 		close(l.queue)
 	})
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (l *Lines) run(w io.Writer) {
+func (l *AsyncWriter) writeLoop(w io.Writer) {
 	defer close(l.done)
 	b := bufio.NewWriter(w)
 	for line := range l.queue {
@@ -66,7 +66,7 @@
 			_ = b.Flush()
 			select {
 			case <-l.closing:
-			case <-time.After(linePause):
+			case <-time.After(flushInterval):
 			}
 		}
 	}
--- a/internal/base/telem/telem.go
+++ b/internal/base/telem/telem.go
@@ -23,8 +23,8 @@
 	api "go.opentelemetry.io/otel/trace"
 )
 
-// NewLog returns a logger that writes one key=value line an event to w.
-func NewLog(w io.Writer, level string) logr.Logger {
+// NewLogger returns a logger that writes one key=value line an event to w.
+func NewLogger(w io.Writer, level string) logr.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
 		l = slog.LevelInfo
@@ -32,8 +32,8 @@
 	return logr.FromSlogHandler(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l}))
 }
 
-// reportEvery is how often metrics pass from their scope to the endpoint.
-const reportEvery = time.Second
+// reportInterval is how often metrics pass from their scope to the endpoint.
+const reportInterval = time.Second
 
 // NewMetrics returns a root scope with a registry of its own, the handler that shows it in the usual text
 // format, and a closer.
@@ -45,7 +45,7 @@
 		Prefix:         "bramleysail",
 		CachedReporter: r,
 		Separator:      promreporter.DefaultSeparator,
-	}, reportEvery)
+	}, reportInterval)
 	return scope, promhttp.HandlerFor(reg, promhttp.HandlerOpts{}), closer
 }
 
@@ -54,21 +54,21 @@
 	return otel.Tracer("bramleysail")
 }
 
-var carry = propagation.TraceContext{}
+var propagator = propagation.TraceContext{}
 
-// Inject writes ctx's span into the headers of the next hop.
-func Inject(ctx context.Context, h http.Header) {
-	carry.Inject(ctx, propagation.HeaderCarrier(h))
+// InjectSpan writes ctx's span into the headers of the next hop.
+func InjectSpan(ctx context.Context, h http.Header) {
+	propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// Extract returns ctx with the span that the previous hop wrote into h.
-func Extract(ctx context.Context, h http.Header) context.Context {
-	return carry.Extract(ctx, propagation.HeaderCarrier(h))
+// ExtractSpan returns ctx with the span that the previous hop wrote into h.
+func ExtractSpan(ctx context.Context, h http.Header) context.Context {
+	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// StartTraces sends spans to the OTLP/HTTP collector at url and returns the
+// StartTracing sends spans to the OTLP/HTTP collector at url and returns the
 // function that flushes and ends it; an empty url changes nothing.
-func StartTraces(ctx context.Context, url, name string) (func(context.Context) error, error) {
+func StartTracing(ctx context.Context, url, name string) (func(context.Context) error, error) {
 	if url == "" {
 		return func(context.Context) error { return nil }, nil
 	}
--- a/internal/base/wait/wait.go
+++ b/internal/base/wait/wait.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Kick wakes whoever waits on c, a channel with room for one, or has it woken as it next waits; it never blocks.
-func Kick(c chan<- struct{}) {
+// Wake wakes whoever waits on c, a channel with room for one, or has it woken as it next waits; it never blocks.
+func Wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/internal/batch/drive/holder.go
+++ b/internal/batch/drive/holder.go
@@ -169,7 +169,7 @@
 	h.startPolling()
 	h.wg.Go(h.commitLoop)
 	h.wg.Go(h.forgetLoop)
-	wait.Kick(h.commitWake)
+	wait.Wake(h.commitWake)
 	h.planLoop()
 	h.wg.Wait()
 	return nil
@@ -334,7 +334,7 @@
 	h.mu.Unlock()
 	h.startPolling()
 	h.requestPlan()
-	wait.Kick(h.commitWake)
+	wait.Wake(h.commitWake)
 }
 
 // noteIntentRead tells the core that its copy of the intent is no older than a read that began at start.
--- a/internal/batch/drive/lag.go
+++ b/internal/batch/drive/lag.go
@@ -26,7 +26,7 @@
 // requestPlan records an event and wakes planLoop.
 func (h *Holder) requestPlan() {
 	h.planLag.oldestEvent.CompareAndSwap(0, max(1, int64(time.Since(h.planLag.started))))
-	wait.Kick(h.planWake)
+	wait.Wake(h.planWake)
 }
 
 // markPlanned records that a plan covers all events so far, and returns its lag behind the oldest of them.
--- a/internal/batch/drive/plan.go
+++ b/internal/batch/drive/plan.go
@@ -211,7 +211,7 @@
 		if !unstored {
 			return
 		}
-		wait.Kick(h.commitWake)
+		wait.Wake(h.commitWake)
 		select {
 		case <-h.ctx.Done():
 			return
--- a/internal/batch/drive/request.go
+++ b/internal/batch/drive/request.go
@@ -144,7 +144,7 @@
 		h.submissions = append(h.submissions, s)
 	}
 	h.mu.Unlock()
-	wait.Kick(h.urgentCommit)
+	wait.Wake(h.urgentCommit)
 	select {
 	case <-s.done:
 		h.log.Info("accepted", "job", id, "queue", q.Name, "tasks", countTasks(job), "took", time.Since(job.AcceptedAt))
@@ -198,7 +198,7 @@
 	done := make(chan struct{})
 	h.recordWaiters[id] = append(h.recordWaiters[id], done)
 	h.mu.Unlock()
-	wait.Kick(h.urgentCommit)
+	wait.Wake(h.urgentCommit)
 	h.requestPlan()
 	select {
 	case <-done:
--- a/internal/batch/sched/feasible.go
+++ b/internal/batch/sched/feasible.go
@@ -148,7 +148,7 @@
 		}
 	}
 	c.sampleCount++
-	for w := range byCPU.Sample(minCPU/cpuBucketWidth, maxScored, c.sampleCount) {
+	for w := range byCPU.SampleAtLeast(minCPU/cpuBucketWidth, maxScored, c.sampleCount) {
 		if dataRack == "" || w.Rack != dataRack {
 			c.addIfFeasible(now, f, w, s)
 		}
--- a/internal/ctrl/lead/tenure.go
+++ b/internal/ctrl/lead/tenure.go
@@ -194,7 +194,7 @@
 			wg.Go(func() {
 				defer func() { <-inFlight }()
 				if t.renewLease() {
-					wait.Kick(expired)
+					wait.Wake(expired)
 				}
 			})
 		}
@@ -222,7 +222,7 @@
 
 // notifyKeyDeleted tells renewLoop that the holder's key was deleted.
 func (t *Tenure) notifyKeyDeleted() {
-	wait.Kick(t.keyDeleted)
+	wait.Wake(t.keyDeleted)
 }
 
 // restoreKey writes the holder's key again with a new lease, as the lease may expire during an outage of the store. If
--- a/internal/ctrl/sheet/sheet.go
+++ b/internal/ctrl/sheet/sheet.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func (s Sheet) check(text string) conf.Faults {
+func (s Sheet) check(text string) conf.Errors {
 	c := checker{text: text, zones: map[string]bool{}, seen: map[string]bool{}}
 	if len(s.Zone) == 0 {
 		c.fault("zone", "", "the sheet declares no failure domain; an empty or truncated sheet changes nothing")
@@ -120,7 +120,7 @@
 	text   string
 	zones  map[string]bool
 	seen   map[string]bool
-	faults conf.Faults
+	faults conf.Errors
 }
 
 func (c *checker) fault(kind, name, why string) {
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	return conf.Line(c.text, kind)
+	return conf.LineOfKey(c.text, kind)
 }
 
 func (c *checker) name(kind, name string) {
--- a/internal/proc/demo/demo.go
+++ b/internal/proc/demo/demo.go
@@ -115,7 +115,7 @@
 		return err
 	}
 	for i := range entries {
-		n, err := node.Start(d.settings(i, storeAddr, hostsAddr), telem.NewLog(io.Discard, "error"))
+		n, err := node.Start(d.settings(i, storeAddr, hostsAddr), telem.NewLogger(io.Discard, "error"))
 		if err != nil {
 			return err
 		}
@@ -152,9 +152,9 @@
 	s.Name, s.Zone = fmt.Sprintf("entry%d", i), zones[i%3]
 	s.Listen = conf.Listen{Caller: "127.0.0.1:0", Peer: "127.0.0.1:0", Admin: "127.0.0.1:0"}
 	s.Store.URL, s.Hosts.URL = "http://"+storeAddr, "http://"+hostsAddr
-	s.Store.Timeout, s.Store.Lease, s.Store.Wait = 500*time.Millisecond, lease, 2*time.Second
-	s.Hosts.Every = 200 * time.Millisecond
-	s.Worker.Lease, s.Worker.Poll, s.Worker.Buckets = lease, 50*time.Millisecond, 4
+	s.Store.Timeout, s.Store.LeaseTTL, s.Store.WatchTimeout = 500*time.Millisecond, lease, 2*time.Second
+	s.Hosts.Interval = 200 * time.Millisecond
+	s.Worker.LeaseTTL, s.Worker.PollInterval, s.Worker.Buckets = lease, 50*time.Millisecond, 4
 	s.Stop.Linger = 200 * time.Millisecond
 	return s
 }
--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -95,11 +95,11 @@
 	}
 	for i := range entries {
 		h := &demoHost{name: fmt.Sprintf("host%d", i)}
-		set := conf.Host{
-			Name: h.name, Zone: zones[i], Metrics: "127.0.0.1:0",
+		set := conf.HostSettings{
+			Name: h.name, Zone: zones[i], MetricsAddr: "127.0.0.1:0",
 			Listen: conf.HostListen{Caller: "127.0.0.1:0", Ready: "127.0.0.1:0", Peer: "127.0.0.1:0"},
-			Store:  conf.HostStore{Least: 1000},
-			Bound:  conf.Bound{Hold: 6000, Stop: 200, Grace: 6, Keep: 120},
+			Store:  conf.HostStore{MinLeaseMillis: 1000},
+			Bound:  conf.Bound{MaxWorkerLeaseMillis: 6000, MaxStopMillis: 200, GraceSeconds: 6, JobRetentionSeconds: 120},
 		}
 		var err error
 		h.host, err = front.Start(set, front.Outside{
--- a/internal/proc/front/carry.go
+++ b/internal/proc/front/carry.go
@@ -25,10 +25,10 @@
 
 // WorkerConns returns how many connections to workers a process may have open; 0: not known.
 func WorkerConns(l conf.HostLimit) int {
-	if l.Files <= 0 {
+	if l.MaxFiles <= 0 {
 		return 0
 	}
-	return max(1, int((1-filesShare)*l.Files-filesBase))
+	return max(1, int((1-filesShare)*l.MaxFiles-filesBase))
 }
 
 // carries returns how many workers a process can hold within its limits, on a machine that is so many times
@@ -36,10 +36,10 @@
 func carries(l conf.HostLimit, slower float64) int {
 	least := math.Inf(1)
 	for _, need := range []struct{ has, base, each float64 }{
-		{l.Share * l.Cores / slower, 0, coresEach},
-		{l.Memory, memoryBase, memoryEach},
-		{l.Files, filesBase, filesEach},
-		{l.Link, 0, linkEach},
+		{l.CPUShare * l.CoreSpeed / slower, 0, coresEach},
+		{l.MemoryMiB, memoryBase, memoryEach},
+		{l.MaxFiles, filesBase, filesEach},
+		{l.LinkMbps, 0, linkEach},
 	} {
 		if need.has > 0 {
 			least = min(least, (need.has-need.base)/need.each)
--- a/internal/proc/front/host.go
+++ b/internal/proc/front/host.go
@@ -35,7 +35,7 @@
 
 // Host is one entry process; Start makes one and Stop ends it gracefully.
 type Host struct {
-	set  conf.Host
+	set  conf.HostSettings
 	out  Outside
 	log  logr.Logger
 	lead *lead.Elector
@@ -68,13 +68,13 @@
 )
 
 // Start listens and serves; the error names the listener that could not be had.
-func Start(set conf.Host, out Outside, log logr.Logger) (*Host, error) {
+func Start(set conf.HostSettings, out Outside, log logr.Logger) (*Host, error) {
 	h := &Host{set: set, out: out, log: log, pace: pace{measure: out.Measure}, lost: make(chan struct{})}
 	if out.Measure == nil {
 		h.pace.measure = compute
 	}
 	var lis []net.Listener
-	for _, addr := range []string{set.Listen.Peer, set.Listen.Caller, set.Listen.Ready, set.Metrics} {
+	for _, addr := range []string{set.Listen.Peer, set.Listen.Caller, set.Listen.Ready, set.MetricsAddr} {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			for _, l := range lis {
@@ -90,7 +90,7 @@
 	h.desk = &Desk{log: log, name: set.Name, scope: scope}
 	h.lead = lead.New(lead.Options{
 		Store: out.Store, Name: set.Name, Addr: lis[0].Addr().String(),
-		LeaseTTL: max(drive.HolderLease, conf.Milliseconds(set.Store.Least)), Log: log, HolderAlive: h.alive,
+		LeaseTTL: max(drive.HolderLease, conf.Milliseconds(set.Store.MinLeaseMillis)), Log: log, HolderAlive: h.alive,
 		Capacity: h.carries,
 	})
 	h.desk.lead = h.lead
@@ -171,10 +171,10 @@
 	h.wg.Go(func() { h.hand(t) })
 	err := drive.Run(drive.Options{
 		Store: h.out.Store, Workers: h.out.Workers, Codec: h.out.Codec, Tenure: t, Log: h.log,
-		WorkerLease: drive.WorkerLease(conf.Milliseconds(h.set.Bound.Hold)), MaxUnconfirmed: drive.MaxUnconfirmed,
-		MaxWorkerLease:   conf.Milliseconds(h.set.Bound.Hold),
-		MaxStopTime:      conf.Milliseconds(h.set.Bound.Stop),
-		JobRetention:     2 * conf.Seconds(h.set.Bound.Keep),
+		WorkerLease: drive.WorkerLease(conf.Milliseconds(h.set.Bound.MaxWorkerLeaseMillis)), MaxUnconfirmed: drive.MaxUnconfirmed,
+		MaxWorkerLease:   conf.Milliseconds(h.set.Bound.MaxWorkerLeaseMillis),
+		MaxStopTime:      conf.Milliseconds(h.set.Bound.MaxStopMillis),
+		JobRetention:     2 * conf.Seconds(h.set.Bound.JobRetentionSeconds),
 		PeersConfirmedAt: h.peer.confirmed,
 		Scope:            h.desk.scope,
 	}, h.desk.setOwn)
@@ -194,11 +194,11 @@
 // Stop hands over what this process holds, serves the requests that still come while the
 // balancer turns away, and ends.
 func (h *Host) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, conf.Seconds(h.set.Bound.Grace)*9/10)
+	ctx, cancel := context.WithTimeout(ctx, conf.Seconds(h.set.Bound.GraceSeconds)*9/10)
 	defer cancel()
 	h.log.Info("stop")
 	h.stopping.Store(true)
-	h.lead.SuspendClaims(conf.Seconds(h.set.Bound.Grace))
+	h.lead.SuspendClaims(conf.Seconds(h.set.Bound.GraceSeconds))
 	if t := h.tenure.Load(); t != nil {
 		h.resign(ctx, t)
 	}
--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -92,7 +92,7 @@
 
 // problem turns an error of a layer below into an answer.
 func problem(w http.ResponseWriter, err error) {
-	var faults conf.Faults
+	var faults conf.Errors
 	switch {
 	case errors.As(err, &faults):
 		answer(w, http.StatusBadRequest, Problem{AdminInvalid, strings.Join(faults, "\n")})
--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	n.scope, n.metrics, n.flush = telem.NewMetrics()
-	if n.traces, err = telem.StartTraces(context.Background(), s.Trace.URL, id); err != nil {
+	if n.traces, err = telem.StartTracing(context.Background(), s.Trace.URL, id); err != nil {
 		closeAll(lis)
 		return nil, err
 	}
@@ -123,9 +123,9 @@
 		Self:              member.Member{ID: n.id, Addr: n.addrs[peerLis], Zone: n.s.Zone, State: member.StateLive},
 		Store:             n.store,
 		Links:             n.links,
-		LeaseTTL:          n.s.Store.Lease,
-		WatchTimeout:      n.s.Store.Wait,
-		HeartbeatInterval: n.s.Peer.Beat,
+		LeaseTTL:          n.s.Store.LeaseTTL,
+		WatchTimeout:      n.s.Store.WatchTimeout,
+		HeartbeatInterval: n.s.Peer.HeartbeatInterval,
 		HeartbeatTimeout:  n.s.Peer.Timeout,
 		Log:               n.log,
 		OnViewChange:      n.viewChanged,
@@ -134,17 +134,17 @@
 		OnPeerLoad:        n.heard,
 	})
 	n.keeper = shard.NewKeeper(shard.Options{
-		Store: n.store, Group: n.group, Wait: n.s.Store.Wait, Items: n.items, Changed: n.tableChanged, Log: n.log,
+		Store: n.store, Group: n.group, Wait: n.s.Store.WatchTimeout, Items: n.items, Changed: n.tableChanged, Log: n.log,
 	})
-	n.feed = sheet.NewFeed(n.store, n.s.Store.Wait, n.configChanged, n.log)
-	n.homes = once.NewHomes(once.New(n.s.Limit.Keep), n.group, n.links, n.s.Peer.Timeout, n.log)
+	n.feed = sheet.NewFeed(n.store, n.s.Store.WatchTimeout, n.configChanged, n.log)
+	n.homes = once.NewHomes(once.New(n.s.Limit.RequestIDRetention), n.group, n.links, n.s.Peer.Timeout, n.log)
 	n.holder = hold.New(hold.Options{
 		Store: n.store, Group: n.group, Keeper: n.keeper, Links: n.links,
 		Config: n.feed.Now, Age: n.feed.Age, Hosts: n.hosts.now,
-		Buckets: n.s.Worker.Buckets, Lease: n.s.Worker.Lease, Poll: n.s.Worker.Poll, Fresh: n.s.Worker.Fresh,
+		Buckets: n.s.Worker.Buckets, Lease: n.s.Worker.LeaseTTL, Poll: n.s.Worker.PollInterval, Fresh: n.s.Worker.MaxConfigAge,
 		Timeout: n.s.Peer.Timeout, Log: n.log, Scope: n.scope,
 	})
-	n.relay = relay.New(n.s.Limit.Answer, n.group.Authorized)
+	n.relay = relay.New(n.s.Limit.MaxAnswerBytes, n.group.Authorized)
 	n.entry = entry.New(n.id, entry.Options{
 		Find: n.find, Homes: n.homes, Relay: n.relay, Limit: n.s.Limit, Log: n.log, Scope: n.scope,
 	})
@@ -158,11 +158,11 @@
 	n.routes.init(n, late)
 	n.lateWG.Go(func() { n.group.Run(late) })
 	n.lateWG.Go(func() { n.keeper.Run(late) })
-	n.lateWG.Go(func() { n.feed.Run(late, n.s.Worker.Fresh) })
+	n.lateWG.Go(func() { n.feed.Run(late, n.s.Worker.MaxConfigAge) })
 	n.lateWG.Go(func() { n.holder.Run(late) })
 	n.wg.Go(func() { n.followHosts(ctx) })
-	n.callers = &http.Server{Handler: n.entry.Handler(), ReadHeaderTimeout: n.s.Limit.Read}
-	n.admin = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: n.s.Limit.Read}
+	n.callers = &http.Server{Handler: n.entry.Handler(), ReadHeaderTimeout: n.s.Limit.ReadTimeout}
+	n.admin = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: n.s.Limit.ReadTimeout}
 	n.wg.Go(func() { n.listenHTTP(n.callers, lis[callerLis]) })
 	n.lateWG.Go(func() { n.listenHTTP(n.admin, lis[adminLis]) })
 	n.lateWG.Go(func() { n.peers.Serve(lis[peerLis]) })
--- a/internal/proc/node/routes.go
+++ b/internal/proc/node/routes.go
@@ -284,7 +284,7 @@
 
 func (n *Node) followHosts(ctx context.Context) {
 	for ctx.Err() == nil {
-		cctx, cancel := context.WithTimeout(ctx, n.s.Hosts.Every)
+		cctx, cancel := context.WithTimeout(ctx, n.s.Hosts.Interval)
 		list, err := hosts.Read(cctx, httpClient, n.s.Hosts.URL)
 		cancel()
 		switch {
@@ -294,6 +294,6 @@
 			n.log.Info("host list is empty; the last one stays in use")
 		}
 		n.follow()
-		wait.For(ctx, n.s.Hosts.Every)
+		wait.For(ctx, n.s.Hosts.Interval)
 	}
 }
--- a/internal/proc/tool/cli.go
+++ b/internal/proc/tool/cli.go
@@ -61,7 +61,7 @@
 
 func exitCode(err error) int {
 	var e exit
-	var faults conf.Faults
+	var faults conf.Errors
 	switch {
 	case errors.As(err, &e):
 		return e.code
@@ -121,7 +121,7 @@
 func serve(ctx context.Context, s conf.Settings, errOut io.Writer) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	n, err := node.Start(s, telem.NewLog(errOut, s.Log.Level))
+	n, err := node.Start(s, telem.NewLogger(errOut, s.Log.Level))
 	if err != nil {
 		return err
 	}
--- a/internal/proc/tool/host.go
+++ b/internal/proc/tool/host.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		return err
 	}
-	lines := telem.NewLines(out)
+	lines := telem.NewAsyncWriter(out)
 	defer lines.Close()
-	log := telem.NewLog(lines, set.Log.Level).WithValues("host", set.Name)
+	log := telem.NewLogger(lines, set.Log.Level).WithValues("host", set.Name)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hup := make(chan os.Signal, 1)
--- a/internal/route/broker/claim_test.go
+++ b/internal/route/broker/claim_test.go
@@ -81,7 +81,7 @@
 			Self: member.Member{ID: id, Addr: lis.Addr().String(), State: member.StateLive}, Store: s, Links: links,
 			LeaseTTL: time.Hour, WatchTimeout: time.Minute, HeartbeatInterval: time.Minute, HeartbeatTimeout: time.Minute, Log: logr.Discard(),
 			OnJoin:       func() { joined <- struct{}{} },
-			OnViewChange: func(member.View) { wait.Kick(changed) },
+			OnViewChange: func(member.View) { wait.Wake(changed) },
 		}),
 	})
 	server, err := link.NewServer("Peer", &peer{b, asked})
--- a/internal/route/entry/entry.go
+++ b/internal/route/entry/entry.go
@@ -71,7 +71,7 @@
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	name := chi.URLParam(r, "service")
-	ctx, span := telem.Tracer().Start(telem.Extract(r.Context(), r.Header), "entry.request",
+	ctx, span := telem.Tracer().Start(telem.ExtractSpan(r.Context(), r.Header), "entry.request",
 		trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(attribute.String("service", name)))
 	defer span.End()
 	code := e.handle(ctx, w, r, name)
--- a/internal/route/entry/request.go
+++ b/internal/route/entry/request.go
@@ -108,12 +108,12 @@
 
 func (e *Entry) body(w http.ResponseWriter, r *http.Request, q *request) *Failure {
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(e.o.Limit.Read))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.o.Limit.Body))
+	_ = rc.SetReadDeadline(time.Now().Add(e.o.Limit.ReadTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.o.Limit.MaxRequestBytes))
 	var big *http.MaxBytesError
 	switch {
 	case errors.As(err, &big):
-		return &Failure{Code: CodeTooLarge, Text: fmt.Sprintf("a request has at most %d bytes", e.o.Limit.Body)}
+		return &Failure{Code: CodeTooLarge, Text: fmt.Sprintf("a request has at most %d bytes", e.o.Limit.MaxRequestBytes)}
 	case err != nil:
 		return &Failure{Code: CodeSlow, Text: "the request did not arrive whole in time"}
 	}
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -293,7 +293,7 @@
 	if d, ok := ctx.Deadline(); ok {
 		req.Header.Set(HeaderTimeout, time.Until(d).Round(time.Millisecond).String())
 	}
-	telem.Inject(ctx, req.Header)
+	telem.InjectSpan(ctx, req.Header)
 	if len(q.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(q.Body))
 		req.ContentLength = int64(len(q.Body))
