--- a/internal/batch/drive/cluster_test.go
+++ b/internal/batch/drive/cluster_test.go
@@ -26,7 +26,7 @@
 type testCluster struct {
 	t       *testing.T
 	store   *multi.Service
-	workers *fakecrew.Crew
+	workers *fakecrew.Fleet
 	hosts   []*host
 
 	wrapWorkers func(drive.WorkerClient) drive.WorkerClient // wraps each host's client of the workers; nil: no wrapper
@@ -96,14 +96,14 @@
 
 // configure writes the operators' configuration into the store.
 func (c *testCluster) configure(config sched.Config) {
-	if err := plain.Configure(c.store, config); err != nil {
+	if err := plain.WriteConfig(c.store, config); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 // listWorkers writes the workers into the directory.
 func (c *testCluster) listWorkers() {
-	if err := plain.List(c.store, c.workers.Members()); err != nil {
+	if err := plain.WriteMembers(c.store, c.workers.Members()); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -124,7 +124,7 @@
 	if h.cluster.wrapStore != nil {
 		client = h.cluster.wrapStore(client)
 	}
-	var workers drive.WorkerClient = &slowWorkers{cpu: h.cpu, WorkerClient: h.cluster.workers.From(func(w sched.Member) bool { return h.cluster.partitioned(h.zone, w.Zone) })}
+	var workers drive.WorkerClient = &slowWorkers{cpu: h.cpu, WorkerClient: h.cluster.workers.Client(func(w sched.Member) bool { return h.cluster.partitioned(h.zone, w.Zone) })}
 	if h.cluster.wrapWorkers != nil {
 		workers = h.cluster.wrapWorkers(workers)
 	}
@@ -132,8 +132,8 @@
 	h.wg.Go(func() {
 		elector.Run(ctx, func(tenure *lead.Tenure) {
 			_ = drive.Run(drive.Options{ // an error only means that the tenure ended while loading
-				Store: client, Workers: workers, Codec: plain.Codec(), Tenure: tenure, Log: logr.Discard(),
-				WorkerLease: drive.WorkerLease(fakecrew.MaxHold), MaxWorkerLease: fakecrew.MaxHold, MaxUnconfirmed: drive.MaxUnconfirmed, MaxStopTime: fakecrew.MaxStop, JobRetention: time.Hour,
+				Store: client, Workers: workers, Codec: plain.New(), Tenure: tenure, Log: logr.Discard(),
+				WorkerLease: drive.WorkerLease(fakecrew.MaxLease), MaxWorkerLease: fakecrew.MaxLease, MaxUnconfirmed: drive.MaxUnconfirmed, MaxStopTime: fakecrew.MaxStopTime, JobRetention: time.Hour,
 			}, func(holder *drive.Holder) { h.setHolder(holder, tenure.Term()) })
 			h.setHolder(nil, 0)
 		})
--- a/internal/batch/drive/connect_test.go
+++ b/internal/batch/drive/connect_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("long-running tasks were without a run for %s", outage)
 		}
 		c.stop()
-		for _, fault := range c.workers.Faults() {
+		for _, fault := range c.workers.Violations() {
 			t.Error(fault)
 		}
 	})
--- a/internal/batch/drive/holder_test.go
+++ b/internal/batch/drive/holder_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(3 * time.Second)
 		test(c)
 		c.stop()
-		for _, fault := range c.workers.Faults() {
+		for _, fault := range c.workers.Violations() {
 			t.Error(fault)
 		}
 	})
@@ -118,7 +118,7 @@
 		c.submit("a", newStep(5), newStep(5, 0))
 		former := c.holder()
 		former.setMode(multi.ModeSilent)
-		c.store.Revoke("lead/holder")
+		c.store.Delete("lead/holder")
 		time.Sleep(4 * time.Second)
 		if current := c.holder(); current == former {
 			t.Error("the host that the store doesn't answer is still the holder")
@@ -152,7 +152,7 @@
 		}
 		c.awaitState(time.Second, "a", sched.StateCancelled)
 		time.Sleep(time.Second)
-		if n := c.workers.Running(); n != 0 {
+		if n := c.workers.RunningCount(); n != 0 {
 			t.Errorf("%d tasks still run", n)
 		}
 	})
@@ -213,7 +213,7 @@
 		t.Errorf("only %d of 150 jobs were accepted", len(accepted))
 	}
 	c.stop()
-	for _, fault := range c.workers.Faults() {
+	for _, fault := range c.workers.Violations() {
 		t.Error(fault)
 	}
 }
@@ -234,26 +234,26 @@
 	case 1:
 		h.setMode([]multi.Mode{multi.ModeBusy, multi.ModeSilent}[rng.IntN(2)])
 		if rng.IntN(2) == 0 {
-			c.store.Revoke("lead/holder")
+			c.store.Delete("lead/holder")
 		}
 		after(func() { h.setMode("") })
 	case 2:
 		c.store.SetMode(multi.ModeBusy)
 		after(func() { c.store.SetMode("") })
 	case 3:
-		c.store.SetLoss(0.3, time.Duration(1+rng.IntN(5))*time.Second)
-		after(func() { c.store.SetLoss(0, 0) })
+		c.store.SetLostAnswers(0.3, time.Duration(1+rng.IntN(5))*time.Second)
+		after(func() { c.store.SetLostAnswers(0, 0) })
 	case 4:
 		c.store.Compact()
 	case 5, 6:
-		c.workers.SetDark(worker, true)
-		after(func() { c.workers.SetDark(worker, false) })
+		c.workers.SetUnreachable(worker, true)
+		after(func() { c.workers.SetUnreachable(worker, false) })
 	case 7:
 		c.workers.Crash(worker)
 		c.listWorkers()
 	case 8:
-		c.workers.SetLate(0.2)
-		after(func() { c.workers.SetLate(0) })
+		c.workers.SetDelayedShare(0.2)
+		after(func() { c.workers.SetDelayedShare(0) })
 	case 9:
 		c.setCutZone(h.zone)
 		after(func() { c.setCutZone("") })
@@ -265,13 +265,13 @@
 	time.Sleep(6 * time.Second)
 	c.setCutZone("")
 	c.store.SetMode("")
-	c.store.SetLoss(0, 0)
-	c.workers.SetLate(0)
+	c.store.SetLostAnswers(0, 0)
+	c.workers.SetDelayedShare(0)
 	for _, h := range c.hosts {
 		h.setMode("")
 	}
 	for _, m := range c.workers.Members() {
-		c.workers.SetDark(m.ID, false)
+		c.workers.SetUnreachable(m.ID, false)
 	}
 }
 
--- a/internal/batch/drive/orders_test.go
+++ b/internal/batch/drive/orders_test.go
@@ -94,7 +94,7 @@
 		if counter.lost > maxLostStarts || counter.starts > 1000+maxLostStarts {
 			t.Errorf("%d starts for 1000 tasks, %d of them lost; want at most %d", counter.starts, counter.lost, maxLostStarts)
 		}
-		for _, fault := range c.workers.Faults() {
+		for _, fault := range c.workers.Violations() {
 			t.Error(fault)
 		}
 	})
@@ -118,7 +118,7 @@
 			t.Errorf("all tasks of answering workers run after %v, want at most 1s", took)
 		}
 		c.stop()
-		for _, fault := range c.workers.Faults() {
+		for _, fault := range c.workers.Violations() {
 			t.Error(fault)
 		}
 	})
@@ -134,7 +134,7 @@
 		c.request(time.Second, drive.Request{Verb: drive.VerbCancel, Host: "h", Path: "/q/a"})
 		cancelled := time.Now()
 		time.Sleep(10 * time.Second)
-		if n := c.workers.Running(); n != 0 {
+		if n := c.workers.RunningCount(); n != 0 {
 			t.Errorf("%d tasks still run", n)
 		}
 		c.stop()
--- a/internal/batch/drive/takeover_test.go
+++ b/internal/batch/drive/takeover_test.go
@@ -26,7 +26,7 @@
 // awaitRunning waits up to limit until n tasks run and returns how long that took.
 func (c *testCluster) awaitRunning(n int, limit time.Duration) time.Duration {
 	start := time.Now()
-	for c.workers.Running() < n && time.Since(start) < limit {
+	for c.workers.RunningCount() < n && time.Since(start) < limit {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(start)
@@ -49,13 +49,13 @@
 					}
 					c.awaitRunning(12, time.Second)
 					time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
-					c.workers.Lose(fmt.Sprintf("w%d", rng.IntN(4)))
+					c.workers.Kill(fmt.Sprintf("w%d", rng.IntN(4)))
 					c.holder().kill()
 					if took := c.awaitRunning(12, 2*maxOutage); took > maxOutage {
 						t.Errorf("all tasks run again after %v, want at most %v", took, maxOutage)
 					}
 					c.stop()
-					for _, fault := range c.workers.Faults() {
+					for _, fault := range c.workers.Violations() {
 						t.Error(fault)
 					}
 				})
@@ -78,12 +78,12 @@
 				c.awaitRunning(12, time.Second)
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 				c.setCutZone(c.holder().zone)
-				c.store.Revoke("lead/holder")
+				c.store.Delete("lead/holder")
 				time.Sleep(15 * time.Second)
 				c.setCutZone("")
 				time.Sleep(5 * time.Second)
 				c.stop()
-				for _, fault := range c.workers.Faults() {
+				for _, fault := range c.workers.Violations() {
 					t.Error(fault)
 				}
 			})
--- a/internal/batch/drive/weakhost_test.go
+++ b/internal/batch/drive/weakhost_test.go
@@ -49,11 +49,11 @@
 				t.Errorf("after %s was lost, long-running tasks were without a run for %s", former.name, outage)
 			}
 		}
-		if n := c.workers.Lapsed(); n > 0 {
+		if n := c.workers.ExpiredRuns(); n > 0 {
 			t.Errorf("the leases of %d runs expired", n)
 		}
 		c.stop()
-		for _, fault := range c.workers.Faults() {
+		for _, fault := range c.workers.Violations() {
 			t.Error(fault)
 		}
 	})
@@ -95,11 +95,11 @@
 				h.setSpeed(strongTurn, strongCapacity)
 			}
 		}
-		if n := c.workers.Lapsed(); n > 0 {
+		if n := c.workers.ExpiredRuns(); n > 0 {
 			t.Errorf("the leases of %d runs expired", n)
 		}
 		c.stop()
-		for _, fault := range c.workers.Faults() {
+		for _, fault := range c.workers.Violations() {
 			t.Error(fault)
 		}
 	})
@@ -111,8 +111,8 @@
 	var current, longest time.Duration
 	for range span / interval {
 		time.Sleep(interval)
-		c.workers.Lapsed() // ends the runs whose leases have expired
-		if current += interval; c.workers.Running() >= n {
+		c.workers.ExpiredRuns() // ends the runs whose leases have expired
+		if current += interval; c.workers.RunningCount() >= n {
 			current = 0
 		}
 		longest = max(longest, current)
--- a/internal/batch/rack/guard_test.go
+++ b/internal/batch/rack/guard_test.go
@@ -80,8 +80,8 @@
 	b.want(old)
 	late := b.tick(old)
 	b.holder(2)
-	if refused := b.deliver(old, late); len(refused) != 1 || refused[0] != wire.RefusalEpoch || len(b.worker.Running()) > 0 {
-		t.Errorf("a former holder's start: refused %v, runs %v", refused, b.worker.Running())
+	if refused := b.deliver(old, late); len(refused) != 1 || refused[0] != wire.RefusalEpoch || len(b.worker.RunningTasks()) > 0 {
+		t.Errorf("a former holder's start: refused %v, runs %v", refused, b.worker.RunningTasks())
 	}
 }
 
@@ -92,7 +92,7 @@
 	c := b.holder(1)
 	b.want(c)
 	b.deliver(c, b.tick(c))
-	if len(b.worker.Running()) != 1 {
+	if len(b.worker.RunningTasks()) != 1 {
 		t.Fatal("the task doesn't run")
 	}
 	b.now = b.now.Add(leaseOf / 2)
@@ -114,7 +114,7 @@
 		t.Fatal(no)
 	}
 	b.now = decided.Add(leaseOf + time.Millisecond)
-	if len(b.worker.Running()) > 0 {
+	if len(b.worker.RunningTasks()) > 0 {
 		t.Error("a late renewal keeps the task running after its lease, as the holder reckons it")
 	}
 }
@@ -149,7 +149,7 @@
 		if !back {
 			t.Errorf("reached %t: never given back", reached)
 		}
-		if back && len(b.worker.Running()) > 0 {
+		if back && len(b.worker.RunningTasks()) > 0 {
 			t.Errorf("reached %t: given back after %s while it runs", reached, b.now.Sub(b.begin))
 		}
 	}
@@ -210,8 +210,8 @@
 	exchange("while the task waits for its start", 2, c.Report("b", true))
 	b.deliver(c, b.tick(c))
 	exchange("while the task runs", 2, c.Report("b", true))
-	if len(b.worker.Running()) != 1 {
-		t.Fatalf("running: %v", b.worker.Running())
+	if len(b.worker.RunningTasks()) != 1 {
+		t.Fatalf("running: %v", b.worker.RunningTasks())
 	}
 	for end := b.now.Add(time.Minute); !b.now.After(end); b.now = b.now.Add(leaseOf / 4) {
 		b.deliver(c, b.tick(c))
--- a/internal/batch/rack/rack_test.go
+++ b/internal/batch/rack/rack_test.go
@@ -65,26 +65,26 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "deaths") {
 		rack := fmt.Sprintf("r%d", rapid.IntRange(0, racks-1).Draw(t, "rack"))
-		w.After(at("death"), func() { w.killHolder(rack) })
+		w.AfterFunc(at("death"), func() { w.killHolder(rack) })
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "bucket deaths") {
-		w.After(at("bucket death"), w.killBucket)
+		w.AfterFunc(at("bucket death"), w.killBucket)
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "cuts") {
 		addr := fmt.Sprintf("r%d/w%d", rapid.IntRange(0, racks-1).Draw(t, "rack"), rapid.IntRange(0, perRack-1).Draw(t, "worker"))
-		w.After(at("cut"), func() { w.cut[addr] = true })
-		w.After(at("mended"), func() { delete(w.cut, addr) })
+		w.AfterFunc(at("cut"), func() { w.cut[addr] = true })
+		w.AfterFunc(at("mended"), func() { delete(w.cut, addr) })
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "moves") {
 		zone := fmt.Sprintf("zr%d", rapid.IntRange(0, racks-1).Draw(t, "zone"))
-		w.After(at("out"), func() { w.out[zone] = w.Now() })
-		w.After(at("back"), func() { delete(w.out, zone) })
+		w.AfterFunc(at("out"), func() { w.out[zone] = w.Now() })
+		w.AfterFunc(at("back"), func() { delete(w.out, zone) })
 	}
 	cancelled := map[string]bool{}
 	if rapid.Bool().Draw(t, "cancel") {
 		id := specs[0].ID
 		cancelled[id] = true
-		w.After(at("cancelled"), func() { _ = w.bucket.core.Cancel(w.Now(), id) })
+		w.AfterFunc(at("cancelled"), func() { _ = w.bucket.core.Cancel(w.Now(), id) })
 	}
 	return cancelled
 }
@@ -99,7 +99,7 @@
 			w.broken("submission: %v", err)
 		}
 	}
-	w.After(step, func() { w.submit(s) })
+	w.AfterFunc(step, func() { w.submit(s) })
 }
 
 // killHolder ends a rack's holder; another follows when its lease has lapsed.
@@ -109,7 +109,7 @@
 		return
 	}
 	h.dead = true
-	w.After(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.hold(rack, h.ep+1) })
+	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.hold(rack, h.ep+1) })
 }
 
 func (w *world) killBucket() {
@@ -118,7 +118,7 @@
 		return
 	}
 	b.dead = true
-	w.After(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.holdBucket(b.ep + 1) })
+	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.holdBucket(b.ep + 1) })
 }
 
 // mend ends all faults.
@@ -160,7 +160,7 @@
 	for i := range racks {
 		zone := fmt.Sprintf("zr%d", i)
 		for j := range perRack {
-			if len(w.workers[fmt.Sprintf("r%d/w%d", i, j)].Running()) > 0 {
+			if len(w.workers[fmt.Sprintf("r%d/w%d", i, j)].RunningTasks()) > 0 {
 				w.out[zone] = w.Now()
 			}
 		}
--- a/internal/batch/rack/virtual_test.go
+++ b/internal/batch/rack/virtual_test.go
@@ -80,10 +80,10 @@
 // run lets a span of time pass, or ends it at the first broken promise.
 func (w *world) run(d time.Duration) {
 	until := w.Now().Add(d)
-	for w.fault == "" && w.Step(until) {
+	for w.fault == "" && w.RunNext(until) {
 		w.check()
 	}
-	w.Run(until)
+	w.RunUntil(until)
 }
 
 // delay is how long a message takes; ok is false when it's lost.
@@ -109,13 +109,13 @@
 	there, ok := w.delay()
 	back, ok2 := w.delay()
 	if ok {
-		w.After(there, request)
+		w.AfterFunc(there, request)
 	}
 	if ok && ok2 && there+back < patience {
-		w.After(there+back, answered)
+		w.AfterFunc(there+back, answered)
 		return
 	}
-	w.After(patience, lost)
+	w.AfterFunc(patience, lost)
 }
 
 // hold gives a rack to a new holder.
@@ -129,9 +129,9 @@
 			return
 		}
 		w.tick(h)
-		w.After(step, tick)
+		w.AfterFunc(step, tick)
 	}
-	w.After(step, tick)
+	w.AfterFunc(step, tick)
 	var sync func()
 	sync = func() {
 		if h.dead {
@@ -139,7 +139,7 @@
 		}
 		w.sync(h, sync)
 	}
-	w.After(step, sync)
+	w.AfterFunc(step, sync)
 }
 
 func (w *world) tick(h *holding) {
@@ -224,9 +224,9 @@
 	}, func() {
 		if !h.dead {
 			h.core.Take(w.Now(), "b", a)
-			w.After(step, again)
+			w.AfterFunc(step, again)
 		}
-	}, func() { w.After(step, again) })
+	}, func() { w.AfterFunc(step, again) })
 }
 
 // holdBucket gives the bucket to a new holder, which reads the record.
@@ -245,9 +245,9 @@
 			return
 		}
 		w.commit(b)
-		w.After(step, commit)
+		w.AfterFunc(step, commit)
 	}
-	w.After(step, commit)
+	w.AfterFunc(step, commit)
 }
 
 // commit writes the record; an answer that is lost is settled by reading back.
@@ -321,7 +321,7 @@
 func (w *world) check() {
 	where := map[string]string{}
 	for addr, k := range w.workers {
-		for _, id := range k.Running() {
+		for _, id := range k.RunningTasks() {
 			task, _, _ := strings.Cut(id, "@")
 			if other, twice := where[task]; twice {
 				w.broken("%s runs on %s and as %s on %s", task, other, id, addr)
@@ -338,7 +338,7 @@
 func (w *world) accepts() map[string]int {
 	sum := map[string]int{}
 	for _, k := range w.workers {
-		for id, n := range k.Accepts() {
+		for id, n := range k.AcceptedResults() {
 			task, _, _ := strings.Cut(id, "@")
 			sum[task] += n
 		}
--- a/internal/ctrl/lead/delay_test.go
+++ b/internal/ctrl/lead/delay_test.go
@@ -94,7 +94,7 @@
 		wg.Go(func() { elector.Run(ctx, func(t *lead.Tenure) { <-t.Context().Done() }) })
 		time.Sleep(time.Second)
 		s.Put("lead/load", []byte("350"))
-		s.Revoke("lead/holder")
+		s.Delete("lead/holder")
 		time.Sleep(300 * time.Millisecond)
 		if h, _ := elector.Holder(); h.Name != "" {
 			t.Errorf("holder %q during the claim delay, want none", h.Name)
@@ -104,7 +104,7 @@
 		if h, _ := elector.Holder(); h.Name != "strong" {
 			t.Errorf("holder %q, want strong", h.Name)
 		}
-		s.Revoke("lead/holder")
+		s.Delete("lead/holder")
 		time.Sleep(1200 * time.Millisecond)
 		if h, _ := elector.Holder(); h.Name != "weak" {
 			t.Errorf("holder %q, want weak", h.Name)
@@ -140,7 +140,7 @@
 		}
 		time.Sleep(time.Second)
 		slowed.Store(true)
-		s.Revoke("lead/holder")
+		s.Delete("lead/holder")
 		time.Sleep(2 * time.Second)
 		if h, _ := unslowed.Holder(); h.Name != "0" {
 			t.Errorf("holder %q, want 0, the only process that isn't slowed", h.Name)
@@ -167,7 +167,7 @@
 		if h, _ := elector.Holder(); h.Name != "next" {
 			t.Errorf("holder %q, want next", h.Name)
 		}
-		s.Revoke("lead/holder")
+		s.Delete("lead/holder")
 		time.Sleep(2 * time.Second)
 		if h, _ := elector.Holder(); h.Name != "" {
 			t.Errorf("holder %q while claims are suspended, want none", h.Name)
--- a/internal/ctrl/lead/tenure_test.go
+++ b/internal/ctrl/lead/tenure_test.go
@@ -55,7 +55,7 @@
 		tenure := <-tenures
 		time.Sleep(time.Second)
 		const delay = 600 * time.Millisecond
-		service.SetDelay(delay)
+		service.SetCallDelay(delay)
 		time.Sleep(2 * time.Second)
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
--- a/internal/fake/hosts/hosts.go
+++ b/internal/fake/hosts/hosts.go
@@ -11,18 +11,18 @@
 
 // List is the stand-in; its zero value is an empty list ready to serve HTTP.
 type List struct {
-	mu   sync.Mutex
-	rows map[string]hosts.Host
+	mu     sync.Mutex
+	byAddr map[string]hosts.Host
 }
 
 // Set adds the host or changes its row.
 func (l *List) Set(h hosts.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.rows == nil {
-		l.rows = map[string]hosts.Host{}
+	if l.byAddr == nil {
+		l.byAddr = map[string]hosts.Host{}
 	}
-	l.rows[h.Addr] = h
+	l.byAddr[h.Addr] = h
 }
 
 // ServeHTTP answers GET with the list and takes a changed row by PUT.
@@ -37,8 +37,8 @@
 		return
 	}
 	l.mu.Lock()
-	rows := make([]hosts.Host, 0, len(l.rows))
-	for _, h := range l.rows {
+	rows := make([]hosts.Host, 0, len(l.byAddr))
+	for _, h := range l.byAddr {
 		rows = append(rows, h)
 	}
 	l.mu.Unlock()
--- a/internal/fake/multi/multi.go
+++ b/internal/fake/multi/multi.go
@@ -26,30 +26,30 @@
 
 // Service holds the keys; its zero value is ready.
 type Service struct {
-	mu      sync.Mutex
-	rev     uint64
-	rows    map[string]store.Entry
-	history []store.Change
-	floor   uint64 // history up to here is gone
-	leases  map[string]*lease
-	serial  int
-	changed chan struct{}
-	all     Mode
-	lose    float64       // share of writes that are done and not answered
-	late    time.Duration // after which some unanswered writes are done instead
-	delay   time.Duration
-	calls   int
+	mu           sync.Mutex
+	rev          uint64
+	entries      map[string]store.Entry
+	history      []store.Change
+	compactedRev uint64 // history up to here is gone
+	leases       map[string]*lease
+	lastLeaseID  int
+	changed      chan struct{}
+	mode         Mode
+	lossShare    float64       // share of writes that are done and not answered
+	lateDelay    time.Duration // after which some unanswered writes are done instead
+	callDelay    time.Duration
+	calls        int
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // Client is one host's way to the service.
 type Client struct {
-	s    *Service
-	mode func() Mode
+	service *Service
+	mode    func() Mode
 }
 
 // Client returns a way to the service whose mode is asked at each call; nil serves.
@@ -61,22 +61,22 @@
 func (s *Service) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = m
+	s.mode = m
 }
 
-// SetDelay has each call take d.
-func (s *Service) SetDelay(d time.Duration) {
+// SetCallDelay has each call take d.
+func (s *Service) SetCallDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delay = d
+	s.callDelay = d
 }
 
-// SetLoss has a share of writes go unanswered; with late above 0, half of these are done only
+// SetLostAnswers has a share of writes go unanswered; with late above 0, half of these are done only
 // after that time, if their condition still holds.
-func (s *Service) SetLoss(share float64, late time.Duration) {
+func (s *Service) SetLostAnswers(share float64, late time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose, s.late = share, late
+	s.lossShare, s.lateDelay = share, late
 }
 
 // Compact drops the history, so that watches from before fail.
@@ -84,15 +84,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.floor = s.rev
-	s.wake()
+	s.compactedRev = s.rev
+	s.notify()
 }
 
-// Revoke deletes a key without its holder being told.
-func (s *Service) Revoke(key string) {
+// Delete deletes a key without its holder being told.
+func (s *Service) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.rows[key]; ok {
+	if _, ok := s.entries[key]; ok {
 		s.apply([]store.Write{{Key: key, Delete: true}})
 	}
 }
@@ -111,7 +111,7 @@
 	s.apply([]store.Write{{Key: key, Value: value}})
 }
 
-func (s *Service) wake() {
+func (s *Service) notify() {
 	if s.changed != nil {
 		close(s.changed)
 	}
@@ -120,38 +120,38 @@
 
 // apply writes under the lock.
 func (s *Service) apply(do []store.Write) {
-	if s.rows == nil {
-		s.rows = map[string]store.Entry{}
+	if s.entries == nil {
+		s.entries = map[string]store.Entry{}
 	}
 	s.rev++
 	for _, w := range do {
 		if w.Delete {
-			if _, ok := s.rows[w.Key]; ok {
-				delete(s.rows, w.Key)
+			if _, ok := s.entries[w.Key]; ok {
+				delete(s.entries, w.Key)
 				s.history = append(s.history, store.Change{Entry: store.Entry{Key: w.Key, Rev: s.rev}, Deleted: true})
 			}
 			continue
 		}
 		e := store.Entry{Key: w.Key, Value: append([]byte(nil), w.Value...), Rev: s.rev, Lease: w.Lease}
-		s.rows[w.Key] = e
+		s.entries[w.Key] = e
 		s.history = append(s.history, store.Change{Entry: e})
 	}
-	s.wake()
+	s.notify()
 }
 
-// expire drops the keys of leases that have run out.
-func (s *Service) expire() {
+// expireLeases drops the keys of leases that have run out.
+func (s *Service) expireLeases() {
 	for id, l := range s.leases {
-		if time.Now().After(l.until) {
-			s.drop(id)
+		if time.Now().After(l.expiresAt) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *Service) drop(id string) {
+func (s *Service) endLease(id string) {
 	delete(s.leases, id)
 	var do []store.Write
-	for k, e := range s.rows {
+	for k, e := range s.entries {
 		if e.Lease == id {
 			do = append(do, store.Write{Key: k, Delete: true})
 		}
@@ -161,13 +161,13 @@
 	}
 }
 
-// enter begins a call and leaves the lock held if it is served.
-func (c *Client) enter(ctx context.Context) error {
-	s := c.s
+// beginCall begins a call and leaves the lock held if it is served.
+func (c *Client) beginCall(ctx context.Context) error {
+	s := c.service
 	s.mu.Lock()
 	s.calls++
-	delay := s.delay
-	mode := s.all
+	delay := s.callDelay
+	mode := s.mode
 	s.mu.Unlock()
 	if mode == "" && c.mode != nil {
 		mode = c.mode()
@@ -176,33 +176,33 @@
 	case ModeBusy:
 		return store.ErrRefused
 	case ModeSilent:
-		wait.For(ctx, silence)
+		wait.For(ctx, callTimeout)
 		return store.ErrOutcomeUnknown
 	}
-	if !wait.For(ctx, delay+answer) {
+	if !wait.For(ctx, delay+callTime) {
 		return store.ErrOutcomeUnknown
 	}
 	s.mu.Lock()
-	s.expire()
+	s.expireLeases()
 	return nil
 }
 
 const (
-	// answer is the time of a call.
-	answer = 4 * time.Millisecond
-	// silence is how long a caller waits for an answer that doesn't come.
-	silence = time.Second
-	// watchStep is how often a watch looks for leases that have run out.
-	watchStep = 50 * time.Millisecond
+	// callTime is the time of a call.
+	callTime = 4 * time.Millisecond
+	// callTimeout is how long a caller waits for an answer that doesn't come.
+	callTimeout = time.Second
+	// expiryInterval is how often a watch looks for leases that have run out.
+	expiryInterval = 50 * time.Millisecond
 )
 
 // Get implements store.Multi.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return store.Entry{}, err
 	}
-	defer c.s.mu.Unlock()
-	e, ok := c.s.rows[key]
+	defer c.service.mu.Unlock()
+	e, ok := c.service.entries[key]
 	if !ok {
 		return store.Entry{}, store.ErrNotFound
 	}
@@ -211,12 +211,12 @@
 
 // Range implements store.Multi.
 func (c *Client) Range(ctx context.Context, prefix string) (store.Listing, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return store.Listing{}, err
 	}
-	defer c.s.mu.Unlock()
-	p := store.Listing{Rev: c.s.rev}
-	for k, e := range c.s.rows {
+	defer c.service.mu.Unlock()
+	p := store.Listing{Rev: c.service.rev}
+	for k, e := range c.service.entries {
 		if strings.HasPrefix(k, prefix) {
 			p.Entries = append(p.Entries, e)
 		}
@@ -230,32 +230,32 @@
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
 	end := time.Now().Add(limit)
 	for {
-		if err := c.enter(ctx); errors.Is(err, store.ErrOutcomeUnknown) {
+		if err := c.beginCall(ctx); errors.Is(err, store.ErrOutcomeUnknown) {
 			wait.For(ctx, time.Until(end))
 			return nil, after, err
 		} else if err != nil {
 			return nil, after, err
 		}
-		if after < c.s.floor {
-			c.s.mu.Unlock()
+		if after < c.service.compactedRev {
+			c.service.mu.Unlock()
 			return nil, after, store.ErrCompacted
 		}
 		var got []store.Change
-		for _, h := range c.s.history {
+		for _, h := range c.service.history {
 			if h.Rev > after && strings.HasPrefix(h.Key, prefix) {
 				got = append(got, h)
 			}
 		}
-		rev := c.s.rev
-		if c.s.changed == nil {
-			c.s.changed = make(chan struct{})
+		rev := c.service.rev
+		if c.service.changed == nil {
+			c.service.changed = make(chan struct{})
 		}
-		changed := c.s.changed
-		c.s.mu.Unlock()
+		changed := c.service.changed
+		c.service.mu.Unlock()
 		if len(got) > 0 || time.Now().After(end) {
 			return got, rev, nil
 		}
-		t := time.NewTimer(watchStep)
+		t := time.NewTimer(expiryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -269,14 +269,14 @@
 
 // Commit implements store.Multi.
 func (c *Client) Commit(ctx context.Context, t store.Txn) (uint64, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return 0, err
 	}
-	s := c.s
+	s := c.service
 	defer s.mu.Unlock()
-	if rand.Float64() < s.lose {
-		if s.late > 0 && rand.IntN(2) == 0 {
-			time.AfterFunc(s.late, func() {
+	if rand.Float64() < s.lossShare {
+		if s.lateDelay > 0 && rand.IntN(2) == 0 {
+			time.AfterFunc(s.lateDelay, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				_, _ = s.commit(t) // nobody waits for it any more
@@ -296,7 +296,7 @@
 		}
 	}
 	for _, c := range t.Conditions {
-		if s.rows[c.Key].Rev != c.Rev {
+		if s.entries[c.Key].Rev != c.Rev {
 			return 0, store.ErrConflict
 		}
 	}
@@ -306,42 +306,42 @@
 
 // OpenLease implements store.Multi.
 func (c *Client) OpenLease(ctx context.Context, ttl time.Duration) (string, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return "", err
 	}
-	defer c.s.mu.Unlock()
-	if c.s.leases == nil {
-		c.s.leases = map[string]*lease{}
+	defer c.service.mu.Unlock()
+	if c.service.leases == nil {
+		c.service.leases = map[string]*lease{}
 	}
-	c.s.serial++
-	id := strconv.Itoa(c.s.serial)
-	c.s.leases[id] = &lease{ttl, time.Now().Add(ttl)}
+	c.service.lastLeaseID++
+	id := strconv.Itoa(c.service.lastLeaseID)
+	c.service.leases[id] = &lease{ttl, time.Now().Add(ttl)}
 	return id, nil
 }
 
 // RenewLease implements store.Multi.
 func (c *Client) RenewLease(ctx context.Context, id string) error {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return err
 	}
-	defer c.s.mu.Unlock()
-	l := c.s.leases[id]
+	defer c.service.mu.Unlock()
+	l := c.service.leases[id]
 	if l == nil {
 		return store.ErrLeaseNotFound
 	}
-	l.until = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	return nil
 }
 
 // CloseLease implements store.Multi.
 func (c *Client) CloseLease(ctx context.Context, id string) error {
-	if err := c.enter(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return err
 	}
-	defer c.s.mu.Unlock()
-	if c.s.leases[id] == nil {
+	defer c.service.mu.Unlock()
+	if c.service.leases[id] == nil {
 		return store.ErrLeaseNotFound
 	}
-	c.s.drop(id)
+	c.service.endLease(id)
 	return nil
 }
--- a/internal/fake/plain/plain.go
+++ b/internal/fake/plain/plain.go
@@ -12,9 +12,9 @@
 
 // Keys in the store.
 const (
-	intentPrefix = "op/"
-	configKey    = intentPrefix + "config"
-	rosterPrefix = "workers/"
+	intentPrefix    = "op/"
+	configKey       = intentPrefix + "config"
+	directoryPrefix = "workers/"
 )
 
 // Store is where operators and workers write.
@@ -22,8 +22,8 @@
 	Put(key string, value []byte)
 }
 
-// Configure writes the operators' configuration.
-func Configure(s Store, c sched.Config) error {
+// WriteConfig writes the operators' configuration.
+func WriteConfig(s Store, c sched.Config) error {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return errors.Wrap(err, "plain")
@@ -32,24 +32,24 @@
 	return nil
 }
 
-// List writes the workers' entries in the directory.
-func List(s Store, members []sched.Member) error {
+// WriteMembers writes the workers' entries in the directory.
+func WriteMembers(s Store, members []sched.Member) error {
 	for _, m := range members {
 		data, err := json.Marshal(m)
 		if err != nil {
 			return errors.Wrap(err, "plain")
 		}
-		s.Put(rosterPrefix+m.ID, data)
+		s.Put(directoryPrefix+m.ID, data)
 	}
 	return nil
 }
 
-// Codec reads what Configure and List write.
-func Codec() drive.Codec {
-	return drive.Codec{IntentPrefix: intentPrefix, DecodeIntent: intent, DirectoryPrefix: rosterPrefix, DecodeMember: member}
+// New reads what Configure and List write.
+func New() drive.Codec {
+	return drive.Codec{IntentPrefix: intentPrefix, DecodeIntent: decodeIntent, DirectoryPrefix: directoryPrefix, DecodeMember: decodeMember}
 }
 
-func intent(entries []store.Entry) (drive.Intent, error) {
+func decodeIntent(entries []store.Entry) (drive.Intent, error) {
 	in := drive.Intent{EvacuatedZones: map[string]bool{}}
 	for _, e := range entries {
 		if e.Key != configKey {
@@ -63,8 +63,8 @@
 	return in, nil
 }
 
-// member reads a worker's entry; one that can't be read names no worker.
-func member(e store.Entry) (sched.Member, bool) {
+// decodeMember reads a worker's entry; one that can't be read names no worker.
+func decodeMember(e store.Entry) (sched.Member, bool) {
 	var m sched.Member
 	err := json.Unmarshal(e.Value, &m)
 	return m, err == nil
--- a/internal/fake/store/store.go
+++ b/internal/fake/store/store.go
@@ -18,17 +18,17 @@
 
 // Store is the stand-in; its zero value is an empty service ready to serve HTTP.
 type Store struct {
-	mu       sync.Mutex
-	rev      uint64
-	rows     map[string]row
-	touched  map[string]uint64
-	sessions map[string]*session
-	changed  chan struct{}
-	down     bool
-	delay    time.Duration
-	lose     int
-	reads    int
-	writes   int
+	mu            sync.Mutex
+	rev           uint64
+	rows          map[string]row
+	changedAt     map[string]uint64
+	sessions      map[string]*session
+	changed       chan struct{}
+	down          bool
+	callDelay     time.Duration
+	answersToLose int
+	reads         int
+	writes        int
 }
 
 type row struct {
@@ -39,8 +39,8 @@
 }
 
 type session struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // SetDown makes every call fail (true) or be served again (false).
@@ -52,24 +52,24 @@
 		// A service that comes back gives every lease its time again, as the
 		// holders could not renew meanwhile.
 		for _, ss := range s.sessions {
-			ss.until = time.Now().Add(ss.ttl)
+			ss.expiresAt = time.Now().Add(ss.ttl)
 		}
 	}
-	s.wake()
+	s.notify()
 }
 
-// SetDelay makes every call take at least d.
-func (s *Store) SetDelay(d time.Duration) {
+// SetCallDelay makes every call take at least d.
+func (s *Store) SetCallDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delay = d
+	s.callDelay = d
 }
 
 // LoseAnswers makes the next n writes take effect and their answers be lost.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.answersToLose = n
 }
 
 // Calls returns how many reads (watches included) and writes have arrived.
@@ -82,11 +82,11 @@
 // Handler returns the HTTP interface, with POST /fault beside it to bring about faults.
 func (s *Store) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/v1/kv/*", s.read)
-	r.Put("/v1/kv/*", s.write)
-	r.Delete("/v1/kv/*", s.write)
-	r.Put("/v1/session/create", s.create)
-	r.Put("/v1/session/{verb}/{id}", s.session)
+	r.Get("/v1/kv/*", s.handleRead)
+	r.Put("/v1/kv/*", s.handleWrite)
+	r.Delete("/v1/kv/*", s.handleWrite)
+	r.Put("/v1/session/create", s.handleCreateSession)
+	r.Put("/v1/session/{verb}/{id}", s.handleSession)
 	r.Get("/calls", func(w http.ResponseWriter, _ *http.Request) {
 		reads, writes := s.Calls()
 		_ = json.NewEncoder(w).Encode(struct {
@@ -105,17 +105,17 @@
 		}
 		d, _ := time.ParseDuration(f.Delay)
 		s.SetDown(f.Down)
-		s.SetDelay(d)
+		s.SetCallDelay(d)
 		s.LoseAnswers(f.Lose)
 	})
 	return r
 }
 
-// enter counts the call and reports whether the service is up; the lock is held on return.
-func (s *Store) enter(w http.ResponseWriter, count *int) bool {
+// beginCall counts the call and reports whether the service is up; the lock is held on return.
+func (s *Store) beginCall(w http.ResponseWriter, count *int) bool {
 	s.mu.Lock()
 	*count++
-	d := s.delay
+	d := s.callDelay
 	if d > 0 {
 		s.mu.Unlock()
 		time.Sleep(d)
@@ -127,81 +127,81 @@
 	}
 	if s.rows == nil {
 		s.rows = map[string]row{}
-		s.touched = map[string]uint64{}
+		s.changedAt = map[string]uint64{}
 		s.sessions = map[string]*session{}
 		s.rev = 1
 	}
-	s.expire()
+	s.expireSessions()
 	return true
 }
 
-// expire drops the sessions whose time is up, with the keys they hold.
-func (s *Store) expire() {
+// expireSessions drops the sessions whose time is up, with the keys they hold.
+func (s *Store) expireSessions() {
 	now := time.Now()
 	for id, ss := range s.sessions {
-		if now.After(ss.until) {
-			s.end(id)
+		if now.After(ss.expiresAt) {
+			s.endSession(id)
 		}
 	}
 }
 
-func (s *Store) end(id string) {
+func (s *Store) endSession(id string) {
 	delete(s.sessions, id)
 	for k, r := range s.rows {
 		if r.Session == id {
 			delete(s.rows, k)
-			s.bump(k)
+			s.recordChange(k)
 		}
 	}
 }
 
-func (s *Store) bump(key string) {
+func (s *Store) recordChange(key string) {
 	s.rev++
-	s.touched[key] = s.rev
-	s.wake()
+	s.changedAt[key] = s.rev
+	s.notify()
 }
 
-func (s *Store) wake() {
+func (s *Store) notify() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-func (s *Store) wait() <-chan struct{} {
+func (s *Store) changeSignal() <-chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
 	return s.changed
 }
 
-// expiryStep is how often a waiting watch looks for lapsed sessions.
-const expiryStep = 100 * time.Millisecond
+// expiryInterval is how often a waiting watch looks for lapsed sessions.
+const expiryInterval = 100 * time.Millisecond
 
-func (s *Store) read(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
 	key := chi.URLParam(r, "*")
 	q := r.URL.Query()
 	_, recurse := q["recurse"]
 	after, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	wait, _ := time.ParseDuration(q.Get("wait"))
 	until := time.Now().Add(wait)
-	if !s.enter(w, &s.reads) {
+	if !s.beginCall(w, &s.reads) {
 		s.mu.Unlock()
 		return
 	}
-	rows, rev := s.match(key, recurse)
+	rows, rev := s.findRows(key, recurse)
 	for rev <= after && time.Now().Before(until) && !s.down {
-		ch := s.wait()
+		ch := s.changeSignal()
 		s.mu.Unlock()
 		select {
 		case <-ch:
 		case <-r.Context().Done():
 			return
-		case <-time.After(min(expiryStep, time.Until(until))):
+		case <-time.After(min(expiryInterval, time.Until(until))):
 		}
 		s.mu.Lock()
-		s.expire()
-		rows, rev = s.match(key, recurse)
+		s.expireSessions()
+		rows, rev = s.findRows(key, recurse)
 	}
 	down := s.down
 	s.mu.Unlock()
@@ -217,8 +217,8 @@
 	_ = json.NewEncoder(w).Encode(rows)
 }
 
-// match returns the rows asked for and the revision of the last change among them, deletions included.
-func (s *Store) match(key string, recurse bool) ([]row, uint64) {
+// findRows returns the rows asked for and the revision of the last change among them, deletions included.
+func (s *Store) findRows(key string, recurse bool) ([]row, uint64) {
 	var rows []row
 	for k, r := range s.rows {
 		if k == key || recurse && strings.HasPrefix(k, key) {
@@ -227,7 +227,7 @@
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
 	rev := uint64(1)
-	for k, at := range s.touched {
+	for k, at := range s.changedAt {
 		if k == key || recurse && strings.HasPrefix(k, key) {
 			rev = max(rev, at)
 		}
@@ -235,22 +235,22 @@
 	return rows, rev
 }
 
-func (s *Store) write(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleWrite(w http.ResponseWriter, r *http.Request) {
 	key := chi.URLParam(r, "*")
 	value, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	ok := s.enter(w, &s.writes)
+	ok := s.beginCall(w, &s.writes)
 	defer s.mu.Unlock()
 	if !ok {
 		return
 	}
-	done := s.apply(key, value, r)
-	s.answer(w, strconv.FormatBool(done))
+	done := s.applyWrite(key, value, r)
+	s.sendAnswer(w, strconv.FormatBool(done))
 }
 
-func (s *Store) apply(key string, value []byte, r *http.Request) bool {
+func (s *Store) applyWrite(key string, value []byte, r *http.Request) bool {
 	old, exists := s.rows[key]
 	q := r.URL.Query()
 	owner := old.Session
@@ -266,7 +266,7 @@
 			return false
 		}
 	}
-	s.bump(key)
+	s.recordChange(key)
 	if r.Method == http.MethodDelete {
 		delete(s.rows, key)
 		return true
@@ -275,16 +275,16 @@
 	return true
 }
 
-// answer sends the text unless this answer is one of those to be lost.
-func (s *Store) answer(w http.ResponseWriter, text string) {
-	if s.lose > 0 {
-		s.lose--
+// sendAnswer sends the text unless this sendAnswer is one of those to be lost.
+func (s *Store) sendAnswer(w http.ResponseWriter, text string) {
+	if s.answersToLose > 0 {
+		s.answersToLose--
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, text)
 }
 
-func (s *Store) create(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleCreateSession(w http.ResponseWriter, r *http.Request) {
 	var in struct{ TTL string }
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -295,19 +295,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ok := s.enter(w, &s.writes)
+	ok := s.beginCall(w, &s.writes)
 	defer s.mu.Unlock()
 	if !ok {
 		return
 	}
 	id := uuid.NewString()
 	s.sessions[id] = &session{ttl, time.Now().Add(ttl)}
-	s.answer(w, `{"ID":"`+id+`"}`)
+	s.sendAnswer(w, `{"ID":"`+id+`"}`)
 }
 
-func (s *Store) session(w http.ResponseWriter, r *http.Request) {
+func (s *Store) handleSession(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	ok := s.enter(w, &s.writes)
+	ok := s.beginCall(w, &s.writes)
 	defer s.mu.Unlock()
 	if !ok {
 		return
@@ -318,9 +318,9 @@
 		return
 	}
 	if chi.URLParam(r, "verb") == "destroy" {
-		s.end(id)
+		s.endSession(id)
 	} else {
-		ss.until = time.Now().Add(ss.ttl)
+		ss.expiresAt = time.Now().Add(ss.ttl)
 	}
-	s.answer(w, "true")
+	s.sendAnswer(w, "true")
 }
--- a/internal/fake/target/target.go
+++ b/internal/fake/target/target.go
@@ -23,34 +23,34 @@
 	FaultDrop      Fault = "drop"      // runs, then cuts the connection without an answer
 	FaultTruncate  Fault = "truncate"  // announces more than it sends
 	FaultOversize  Fault = "oversize"  // sends more than any caller takes
-	FaultCross     Fault = "cross"     // answers with another request's id
+	FaultWrongID   Fault = "cross"     // answers with another request's id
 	FaultDuplicate Fault = "duplicate" // sends the answer twice on the connection
 	FaultUnframed  Fault = "unframed"  // sends an answer with neither length nor chunks
 )
 
-// oversize is the length in bytes of an oversized answer.
-const oversize = 32 << 20
+// oversizedLen is the length in bytes of an oversized answer.
+const oversizedLen = 32 << 20
 
 // Target is the stand-in; the zero value has no slots and refuses everything.
 type Target struct {
-	mu      sync.Mutex
-	slots   int
-	work    time.Duration
-	fault   Fault
-	leaving bool
-	busy    int
-	peak    int
-	over    int
-	conns   int
-	connTop int
-	made    int // connections in all
-	runs    map[string]int
-	bodies  map[string]string
+	mu            sync.Mutex
+	slots         int
+	workTime      time.Duration
+	fault         Fault
+	leaving       bool
+	busy          int
+	peakBusy      int
+	violations    int
+	openConns     int
+	peakConns     int
+	acceptedConns int // connections in all
+	runsByKey     map[string]int
+	bodyByKey     map[string]string
 }
 
 // New returns a target of so many slots whose requests take work each.
 func New(slots int, work time.Duration) *Target {
-	return &Target{slots: slots, work: work, runs: map[string]int{}, bodies: map[string]string{}}
+	return &Target{slots: slots, workTime: work, runsByKey: map[string]int{}, bodyByKey: map[string]string{}}
 }
 
 // SetFault makes every later request meet the fault.
@@ -60,11 +60,11 @@
 	t.fault = f
 }
 
-// SetWork changes how long a request takes.
-func (t *Target) SetWork(d time.Duration) {
+// SetWorkTime changes how long a request takes.
+func (t *Target) SetWorkTime(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.work = d
+	t.workTime = d
 }
 
 // SetLeaving makes the target say in every answer that it is leaving.
@@ -78,79 +78,79 @@
 func (t *Target) Runs(key string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.runs[key]
+	return t.runsByKey[key]
 }
 
-// Total returns how many requests have run here.
-func (t *Target) Total() int {
+// TotalRuns returns how many requests have run here.
+func (t *Target) TotalRuns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for _, r := range t.runs {
+	for _, r := range t.runsByKey {
 		n += r
 	}
 	return n
 }
 
-// Peak returns the largest number of requests and of connections open at once,
+// PeakLoad returns the largest number of requests and of connections open at once,
 // and how many requests arrived while every slot was busy.
-func (t *Target) Peak() (requests, conns, over int) {
+func (t *Target) PeakLoad() (requests, conns, over int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.peak, t.connTop, t.over
+	return t.peakBusy, t.peakConns, t.violations
 }
 
-// Accepted returns how many connections were made to the target.
-func (t *Target) Accepted() int {
+// AcceptedConns returns how many connections were made to the target.
+func (t *Target) AcceptedConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.made
+	return t.acceptedConns
 }
 
 // Server returns an HTTP server for the target that counts its connections.
 func (t *Target) Server() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/healthz", t.health)
-	mux.HandleFunc("/fault", t.steer)
-	mux.HandleFunc("/stats", t.stats)
+	mux.HandleFunc("/healthz", t.handleHealth)
+	mux.HandleFunc("/fault", t.handleFault)
+	mux.HandleFunc("/stats", t.handleStats)
 	mux.HandleFunc("/runs", func(w http.ResponseWriter, _ *http.Request) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(t.runs)
+		_ = json.NewEncoder(w).Encode(t.runsByKey)
 	})
-	mux.HandleFunc("/", t.serve)
+	mux.HandleFunc("/", t.handleRequest)
 	return &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute, ConnState: func(_ net.Conn, s http.ConnState) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		switch s {
 		case http.StateNew:
-			t.conns++
-			t.made++
-			t.connTop = max(t.connTop, t.conns)
+			t.openConns++
+			t.acceptedConns++
+			t.peakConns = max(t.peakConns, t.openConns)
 		case http.StateClosed, http.StateHijacked:
-			t.conns--
+			t.openConns--
 		}
 	}}
 }
 
-func (t *Target) health(w http.ResponseWriter, _ *http.Request) {
+func (t *Target) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.head(w)
+	t.setLoadHeaders(w)
 	if t.fault != FaultNone {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// head sets the headers by which a target tells its load and that it leaves; the lock is held.
-func (t *Target) head(w http.ResponseWriter) {
+// setLoadHeaders sets the headers by which a target tells its load and that it leaves; the lock is held.
+func (t *Target) setLoadHeaders(w http.ResponseWriter) {
 	w.Header().Set("Sail-Load", strconv.Itoa(t.busy))
 	if t.leaving {
 		w.Header().Set("Sail-State", "leaving")
 	}
 }
 
-func (t *Target) steer(w http.ResponseWriter, r *http.Request) {
+func (t *Target) handleFault(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Fault   Fault
 		Leaving bool
@@ -163,29 +163,29 @@
 	t.SetFault(in.Fault)
 	t.SetLeaving(in.Leaving)
 	if d, err := time.ParseDuration(in.Work); err == nil {
-		t.SetWork(d)
+		t.SetWorkTime(d)
 	}
 }
 
-func (t *Target) stats(w http.ResponseWriter, _ *http.Request) {
-	requests, conns, over := t.Peak()
+func (t *Target) handleStats(w http.ResponseWriter, _ *http.Request) {
+	requests, conns, over := t.PeakLoad()
 	twice := 0
 	t.mu.Lock()
-	for _, n := range t.runs {
+	for _, n := range t.runsByKey {
 		if n > 1 {
 			twice++
 		}
 	}
 	t.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(struct{ Peak, Conns, Over, Total, Twice int }{requests, conns, over, t.Total(), twice})
+	_ = json.NewEncoder(w).Encode(struct{ Peak, Conns, Over, Total, Twice int }{requests, conns, over, t.TotalRuns(), twice})
 }
 
-func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
+func (t *Target) handleRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	work, fault, ok := t.start(w, r, body)
+	work, fault, ok := t.takeSlot(w, r, body)
 	if !ok {
 		w.Header().Set("Sail-Outcome", "not-run")
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
@@ -204,36 +204,36 @@
 	t.mu.Lock()
 	t.busy--
 	t.mu.Unlock()
-	t.answer(w, r, body, fault)
+	t.writeAnswer(w, r, body, fault)
 }
 
-// start takes a slot, or reports that the request is refused before it has run.
-func (t *Target) start(w http.ResponseWriter, r *http.Request, body []byte) (time.Duration, Fault, bool) {
+// takeSlot takes a slot, or reports that the request is refused before it has run.
+func (t *Target) takeSlot(w http.ResponseWriter, r *http.Request, body []byte) (time.Duration, Fault, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	full := t.busy >= t.slots
 	if full {
-		t.over++
+		t.violations++
 	}
-	t.head(w)
+	t.setLoadHeaders(w)
 	if full || t.fault == FaultRefuse {
 		return 0, t.fault, false
 	}
 	t.busy++
-	t.peak = max(t.peak, t.busy)
+	t.peakBusy = max(t.peakBusy, t.busy)
 	if key := r.Header.Get("Sail-Key"); key != "" {
-		t.runs[key]++
-		if old, seen := t.bodies[key]; seen && old != string(body) {
-			t.over++
+		t.runsByKey[key]++
+		if old, seen := t.bodyByKey[key]; seen && old != string(body) {
+			t.violations++
 		}
-		t.bodies[key] = string(body)
+		t.bodyByKey[key] = string(body)
 	} else {
-		t.runs[r.Header.Get("X-Request-Id")]++
+		t.runsByKey[r.Header.Get("X-Request-Id")]++
 	}
-	return t.work, t.fault, true
+	return t.workTime, t.fault, true
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, body []byte, fault Fault) {
+func (t *Target) writeAnswer(w http.ResponseWriter, r *http.Request, body []byte, fault Fault) {
 	id := r.Header.Get("X-Request-Id")
 	text := fmt.Sprintf("%s %s %s", r.Method, r.URL.Path, body)
 	w.Header().Set("X-Request-Id", id)
@@ -246,20 +246,20 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)+10))
 		_, _ = io.WriteString(w, text)
 	case FaultOversize:
-		w.Header().Set("Content-Length", strconv.Itoa(oversize))
-		_, _ = w.Write(make([]byte, oversize))
-	case FaultCross:
+		w.Header().Set("Content-Length", strconv.Itoa(oversizedLen))
+		_, _ = w.Write(make([]byte, oversizedLen))
+	case FaultWrongID:
 		w.Header().Set("X-Request-Id", "someone-else")
 		_, _ = io.WriteString(w, text)
 	case FaultDuplicate, FaultUnframed:
-		raw(w, id, text, fault)
+		writeRawAnswer(w, id, text, fault)
 	default:
 		_, _ = io.WriteString(w, text)
 	}
 }
 
-// raw writes answers that the HTTP server itself would not let through.
-func raw(w http.ResponseWriter, id, text string, fault Fault) {
+// writeRawAnswer writes answers that the HTTP server itself would not let through.
+func writeRawAnswer(w http.ResponseWriter, id, text string, fault Fault) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -15,27 +15,27 @@
 
 // Worker is the stand-in; New gives it its resources.
 type Worker struct {
-	mu     sync.Mutex
-	now    func() wire.Clock
-	size   wire.Size
-	epoch  uint64
-	until  wire.Clock
-	tasks  map[string]*task
-	starts map[string]int
-	// accepts counts the results let out, which is what the outside world sees of a task.
-	accepts map[string]int
-	lag     time.Duration
-	report  wire.Report
-	at      wire.Clock
-	fail    bool
+	mu         sync.Mutex
+	now        func() wire.Clock
+	size       wire.Size
+	epoch      uint64
+	leaseUntil wire.Clock
+	tasks      map[string]*task
+	starts     map[string]int
+	// acceptedResults counts the results let out, which is what the outside world sees of a task.
+	acceptedResults map[string]int
+	reportLag       time.Duration
+	lastReport      wire.Report
+	reportedAt      wire.Clock
+	failTasks       bool
 }
 
 type task struct {
-	spec  wire.Task
-	begun wire.Clock
-	done  time.Duration
-	state wire.TaskState
-	rate  float64
+	spec      wire.Task
+	updatedAt wire.Clock
+	progress  time.Duration
+	state     wire.TaskState
+	speed     float64
 }
 
 // New returns a worker of that size whose reports lag by lag.
@@ -46,7 +46,7 @@
 
 // NewAt returns a worker with the given clock.
 func NewAt(size wire.Size, lag time.Duration, now func() wire.Clock) *Worker {
-	return &Worker{now: now, size: size, lag: lag, tasks: map[string]*task{}, starts: map[string]int{}, accepts: map[string]int{}}
+	return &Worker{now: now, size: size, reportLag: lag, tasks: map[string]*task{}, starts: map[string]int{}, acceptedResults: map[string]int{}}
 }
 
 // Starts returns how often the task has been started here.
@@ -56,33 +56,33 @@
 	return w.starts[id]
 }
 
-// Accepts returns how many results were let out, by task id.
-func (w *Worker) Accepts() map[string]int {
+// AcceptedResults returns how many results were let out, by task id.
+func (w *Worker) AcceptedResults() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.accepts)
+	return maps.Clone(w.acceptedResults)
 }
 
 // Handler returns the worker's HTTP interface.
 func (w *Worker) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/v1/fence", handle(w.Fence))
-	r.Post("/v1/renew", handle(w.Renew))
-	r.Post("/v1/start", handle(w.Start))
-	r.Post("/v1/act", handle(w.Act))
+	r.Post("/v1/fence", handleCommand(w.Fence))
+	r.Post("/v1/renew", handleCommand(w.Renew))
+	r.Post("/v1/start", handleCommand(w.Start))
+	r.Post("/v1/act", handleCommand(w.Act))
 	r.Get("/v1/report", func(rw http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(rw).Encode(w.Report())
 	})
 	r.Get("/stats", func(rw http.ResponseWriter, _ *http.Request) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		_ = json.NewEncoder(rw).Encode(struct{ Starts, Accepts map[string]int }{w.starts, w.accepts})
+		_ = json.NewEncoder(rw).Encode(struct{ Starts, Accepts map[string]int }{w.starts, w.acceptedResults})
 	})
 	return r
 }
 
-// handle adapts a typed command to HTTP; a refused command answers 409 with its reason.
-func handle[In, Out any](f func(In) (Out, wire.Refusal)) http.HandlerFunc {
+// handleCommand adapts a typed command to HTTP; a refused command answers 409 with its reason.
+func handleCommand[In, Out any](f func(In) (Out, wire.Refusal)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		var in In
 		if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
@@ -109,7 +109,7 @@
 	if in.Epoch < w.epoch {
 		return wire.Report{}, wire.RefusalEpoch
 	}
-	w.advance()
+	w.updateTasks()
 	w.epoch = in.Epoch
 	return w.snapshot(), ""
 }
@@ -118,14 +118,14 @@
 func (w *Worker) SetFailing(fail bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fail = fail
+	w.failTasks = fail
 }
 
-// Running returns the ids of the tasks that run here now.
-func (w *Worker) Running() []string {
+// RunningTasks returns the ids of the tasks that run here now.
+func (w *Worker) RunningTasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance()
+	w.updateTasks()
 	var ids []string
 	for id, t := range w.tasks {
 		if t.state == wire.TaskRunning {
@@ -143,8 +143,8 @@
 	if in.Epoch != w.epoch {
 		return wire.Report{}, wire.RefusalEpoch
 	}
-	w.advance()
-	w.until = max(w.until, in.Until)
+	w.updateTasks()
+	w.leaseUntil = max(w.leaseUntil, in.Until)
 	return w.snapshot(), ""
 }
 
@@ -152,14 +152,14 @@
 func (w *Worker) Start(in wire.Start) (wire.Report, wire.Refusal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance()
+	w.updateTasks()
 	if in.Epoch != w.epoch {
 		return wire.Report{}, wire.RefusalEpoch
 	}
 	if t := w.tasks[in.Task.ID]; t != nil {
 		return w.snapshot(), ""
 	}
-	if w.now() > w.until {
+	if w.now() > w.leaseUntil {
 		return wire.Report{}, wire.RefusalLease
 	}
 	if w.now() > in.NotAfter {
@@ -176,10 +176,10 @@
 	}
 	w.starts[in.Task.ID]++
 	state := wire.TaskRunning
-	if w.fail {
+	if w.failTasks {
 		state = wire.TaskFailed
 	}
-	w.tasks[in.Task.ID] = &task{spec: in.Task, begun: w.now(), done: in.Task.From, state: state, rate: 1}
+	w.tasks[in.Task.ID] = &task{spec: in.Task, updatedAt: w.now(), progress: in.Task.From, state: state, speed: 1}
 	return w.snapshot(), ""
 }
 
@@ -187,7 +187,7 @@
 func (w *Worker) Act(in wire.Act) (wire.Report, wire.Refusal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance()
+	w.updateTasks()
 	if in.Epoch != w.epoch {
 		return wire.Report{}, wire.RefusalEpoch
 	}
@@ -202,13 +202,13 @@
 		}
 	case wire.VerbStop:
 		if t.state == wire.TaskRunning {
-			t.state, t.done = wire.TaskStopped, t.spec.From
+			t.state, t.progress = wire.TaskStopped, t.spec.From
 		}
 	case wire.VerbThrottle:
-		t.rate = in.Rate
+		t.speed = in.Rate
 	case wire.VerbAccept:
 		if t.state == wire.TaskFinished {
-			w.accepts[in.ID]++
+			w.acceptedResults[in.ID]++
 			delete(w.tasks, in.ID)
 		}
 	case wire.VerbForget:
@@ -219,26 +219,26 @@
 	return w.snapshot(), ""
 }
 
-// advance brings the tasks up to now; those running past the lease stop there,
+// updateTasks brings the tasks up to now; those running past the lease stop there,
 // with the progress they had when it lapsed.
-func (w *Worker) advance() {
+func (w *Worker) updateTasks() {
 	now := w.now()
 	end := now
-	if now > w.until {
-		end = w.until
+	if now > w.leaseUntil {
+		end = w.leaseUntil
 	}
 	for _, t := range w.tasks {
 		if t.state != wire.TaskRunning {
 			continue
 		}
-		if d := end - t.begun; d > 0 {
-			t.done += time.Duration(float64(d) * t.rate)
+		if d := end - t.updatedAt; d > 0 {
+			t.progress += time.Duration(float64(d) * t.speed)
 		}
-		t.begun = now
+		t.updatedAt = now
 		switch {
-		case t.done >= t.spec.Run && !t.spec.Standing:
+		case t.progress >= t.spec.Run && !t.spec.Standing:
 			t.state = wire.TaskFinished
-		case now > w.until:
+		case now > w.leaseUntil:
 			t.state = wire.TaskStopped
 		}
 	}
@@ -247,7 +247,7 @@
 func (w *Worker) snapshot() wire.Report {
 	r := wire.Report{Epoch: w.epoch, Now: w.now(), Size: w.size}
 	for id, t := range w.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{ID: id, State: t.state, Done: t.done, Size: t.spec.Size})
+		r.Tasks = append(r.Tasks, wire.TaskReport{ID: id, State: t.state, Done: t.progress, Size: t.spec.Size})
 	}
 	sort.Slice(r.Tasks, func(i, j int) bool { return r.Tasks[i].ID < r.Tasks[j].ID })
 	return r
@@ -257,9 +257,9 @@
 func (w *Worker) Report() wire.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Duration(w.now()-w.at) >= w.lag || w.report.Now == 0 {
-		w.advance()
-		w.report, w.at = w.snapshot(), w.now()
+	if time.Duration(w.now()-w.reportedAt) >= w.reportLag || w.lastReport.Now == 0 {
+		w.updateTasks()
+		w.lastReport, w.reportedAt = w.snapshot(), w.now()
 	}
-	return w.report
+	return w.lastReport
 }
--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -38,7 +38,7 @@
 type hostDemo struct {
 	out    io.Writer
 	store  *multi.Service
-	crew   *fakecrew.Crew
+	crew   *fakecrew.Fleet
 	all    []*demoHost
 	jobs   []string
 	broken []string
@@ -87,10 +87,10 @@
 
 func (d *hostDemo) start() error {
 	queue := sched.Queue{Name: "books", Host: "demo", Prefix: "/books/", Service: "s", Tries: 3, Stretch: 2, Aim: time.Second}
-	if err := plain.Configure(d.store, sched.Config{Version: 1, Queues: []sched.Queue{queue}}); err != nil {
+	if err := plain.WriteConfig(d.store, sched.Config{Version: 1, Queues: []sched.Queue{queue}}); err != nil {
 		return err
 	}
-	if err := plain.List(d.store, d.crew.Members()); err != nil {
+	if err := plain.WriteMembers(d.store, d.crew.Members()); err != nil {
 		return err
 	}
 	for i := range entries {
@@ -103,7 +103,7 @@
 		}
 		var err error
 		h.host, err = front.Start(set, front.Outside{
-			Store: d.store.Client(h.get), Workers: d.crew.From(func(sched.Member) bool { return false }), Codec: plain.Codec(),
+			Store: d.store.Client(h.get), Workers: d.crew.Client(func(sched.Member) bool { return false }), Codec: plain.New(),
 			Callers: func(desk *front.Desk) http.Handler {
 				h.desk = desk
 				return http.NotFoundHandler()
@@ -208,7 +208,7 @@
 func (d *hostDemo) turnAway(ctx context.Context) error {
 	for _, h := range d.all {
 		h.set(multi.ModeSilent)
-		d.store.Revoke("lead/holder")
+		d.store.Delete("lead/holder")
 		wait.For(ctx, hostAway)
 		h.set("")
 	}
@@ -229,13 +229,13 @@
 		}
 	}
 	// A task is begun anew where a lease lapsed, as on a machine that stood still for seconds.
-	lapsed := d.crew.Lapsed() > 0
+	lapsed := d.crew.ExpiredRuns() > 0
 	for task, n := range d.crew.Starts() {
 		if n != 1 && !lapsed {
 			d.broken = append(d.broken, fmt.Sprintf("%s was started %d times", task, n))
 		}
 	}
-	d.broken = append(d.broken, d.crew.Faults()...)
+	d.broken = append(d.broken, d.crew.Violations()...)
 	fmt.Fprintf(d.out, "%d books of %d tasks finished, promises broken: %d\n", len(d.jobs), 2*hostWidth, len(d.broken))
 	return nil
 }
--- a/internal/proc/demo/play.go
+++ b/internal/proc/demo/play.go
@@ -108,7 +108,7 @@
 	n := 0
 	for i, w := range d.workers {
 		if i%3 == zone {
-			n += len(w.Running())
+			n += len(w.RunningTasks())
 		}
 	}
 	return n
@@ -183,7 +183,7 @@
 func (d *Demo) accepts() map[string]int {
 	sum := map[string]int{}
 	for _, w := range d.workers {
-		for id, n := range w.Accepts() {
+		for id, n := range w.AcceptedResults() {
 			task, _, _ := strings.Cut(id, "@")
 			sum[task] += n
 		}
@@ -241,7 +241,7 @@
 	})
 	over := 0
 	for _, t := range d.targets {
-		_, _, n := t.Peak()
+		_, _, n := t.PeakLoad()
 		over += n
 	}
 	d.promise("no check-in runs twice", once)
--- a/internal/proc/whole/fault_test.go
+++ b/internal/proc/whole/fault_test.go
@@ -53,7 +53,7 @@
 		{target.FaultDrop, 502, "unknown", "answer-lost", 1},
 		{target.FaultTruncate, 502, "unknown", "answer-unusable", 1},
 		{target.FaultOversize, 502, "unknown", "answer-unusable", 1},
-		{target.FaultCross, 502, "unknown", "answer-unusable", 1},
+		{target.FaultWrongID, 502, "unknown", "answer-unusable", 1},
 		{target.FaultUnframed, 502, "unknown", "answer-unusable", 1},
 		{target.FaultDuplicate, 200, "done", "", 1},
 	} {
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -32,20 +32,20 @@
 			at := time.Duration(rapid.IntRange(0, 5000).Draw(t, "at")) * time.Millisecond
 			addr := fmt.Sprintf("t%02d", rapid.IntRange(0, targets-1).Draw(t, "target"))
 			to := fmt.Sprintf("e%d", rapid.IntRange(0, cores-1).Draw(t, "to"))
-			w.After(at, func() { w.move(addr, to) })
+			w.AfterFunc(at, func() { w.move(addr, to) })
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "kills") {
 			at := time.Duration(rapid.IntRange(500, 3000).Draw(t, "kill at")) * time.Millisecond
 			id := fmt.Sprintf("e%d", rapid.IntRange(1, cores-1).Draw(t, "dead"))
-			w.After(at, func() { w.kill(id) })
+			w.AfterFunc(at, func() { w.kill(id) })
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "stills") {
 			at := time.Duration(rapid.IntRange(0, 5000).Draw(t, "still at")) * time.Millisecond
 			span := time.Duration(rapid.IntRange(1, 1000).Draw(t, "still for")) * time.Millisecond
 			id := fmt.Sprintf("e%d", rapid.IntRange(0, cores-1).Draw(t, "still"))
-			w.After(at, func() { w.stand(id, span) })
+			w.AfterFunc(at, func() { w.stand(id, span) })
 		}
-		w.Run(begin.Add(time.Minute))
+		w.RunUntil(begin.Add(time.Minute))
 		if w.unlawful > 0 {
 			t.Fatalf("%d requests were sent by a process that had to stand still", w.unlawful)
 		}
@@ -92,7 +92,7 @@
 		w := newWorld(7, cores, targets, slots, 50*time.Millisecond, 500*time.Microsecond)
 		begin := w.Now()
 		w.load(load*targets*slots/0.05, begin.Add(span), 2*time.Second)
-		w.Run(begin.Add(span + 5*time.Second))
+		w.RunUntil(begin.Add(span + 5*time.Second))
 		return w, len(w.sent)
 	}
 	_, best := answered(0.98)
--- a/internal/route/pool/virtual_test.go
+++ b/internal/route/pool/virtual_test.go
@@ -103,7 +103,7 @@
 }
 
 func (w *world) tick(id string) {
-	w.After(tickStep, func() {
+	w.AfterFunc(tickStep, func() {
 		if !w.dead[id] {
 			w.do(id, w.cores[id].Tick(w.Now()))
 			w.tick(id)
@@ -112,7 +112,7 @@
 }
 
 func (w *world) beat(id string) {
-	w.After(beatStep, func() {
+	w.AfterFunc(beatStep, func() {
 		if w.dead[id] {
 			return
 		}
@@ -129,7 +129,7 @@
 
 // to delivers a message to a core after one hop.
 func (w *world) to(from, id string, f func(*Core) []Action) {
-	w.After(w.way(from, id), func() {
+	w.AfterFunc(w.way(from, id), func() {
 		if !w.dead[id] {
 			w.do(id, f(w.cores[id]))
 		}
@@ -166,7 +166,7 @@
 }
 
 func (w *world) ask(id string, a Ask) {
-	w.After(w.way(id, a.Peer), func() {
+	w.AfterFunc(w.way(id, a.Peer), func() {
 		if w.dead[a.Peer] {
 			w.to(a.Peer, id, func(c *Core) []Action { return c.AskFailed(w.Now(), a.Peer, a.N) })
 			return
@@ -201,14 +201,14 @@
 		w.lose(id, a)
 		return
 	}
-	w.After(w.way(id, addr), func() {
+	w.AfterFunc(w.way(id, addr), func() {
 		if w.busy[addr] >= w.slots {
 			w.over++
 		}
 		w.busy[addr]++
-		w.After(w.service(addr), func() {
+		w.AfterFunc(w.service(addr), func() {
 			w.busy[addr]--
-			w.After(w.way(addr, id), func() { w.done(id, a, begun) })
+			w.AfterFunc(w.way(addr, id), func() { w.done(id, a, begun) })
 		})
 	})
 }
@@ -217,14 +217,14 @@
 // than its sender does.
 func (w *world) lose(id string, a Send) {
 	addr := a.Permit.Target
-	w.After(w.way(id, addr), func() {
+	w.AfterFunc(w.way(id, addr), func() {
 		if w.busy[addr] >= w.slots {
 			w.over++
 		}
 		w.busy[addr]++
-		w.After(hangFor, func() { w.busy[addr]-- })
+		w.AfterFunc(hangFor, func() { w.busy[addr]-- })
 	})
-	w.After(time.Second, func() {
+	w.AfterFunc(time.Second, func() {
 		delete(w.using, a.Permit.Key)
 		if w.dead[id] {
 			return
@@ -252,7 +252,7 @@
 func (w *world) load(rate float64, until time.Time, patience time.Duration) {
 	var next func(id uint64)
 	next = func(id uint64) {
-		w.After(time.Duration(w.rand.ExpFloat64()/rate*float64(time.Second)), func() {
+		w.AfterFunc(time.Duration(w.rand.ExpFloat64()/rate*float64(time.Second)), func() {
 			if w.Now().After(until) {
 				return
 			}
@@ -277,7 +277,7 @@
 			w.cores[other].Gone(id)
 		}
 	}
-	w.After(leaseTime, func() {
+	w.AfterFunc(leaseTime, func() {
 		at := 0
 		for n := range w.slotsOf(id) {
 			for w.dead[fmt.Sprintf("e%d", at%len(w.cores))] {
@@ -301,7 +301,7 @@
 	w.still[id] = true
 	w.do(id, w.cores[id].SetLawful(w.Now(), false))
 	w.do(id, w.cores[id].SetStill(w.Now(), true))
-	w.After(span, func() {
+	w.AfterFunc(span, func() {
 		if w.dead[id] {
 			return
 		}
@@ -326,7 +326,7 @@
 
 // probe asks a target for its load now and again while its owner has untracked requests there.
 func (w *world) probe(id, addr string) {
-	w.After(50*time.Millisecond, func() {
+	w.AfterFunc(50*time.Millisecond, func() {
 		if w.dead[id] || w.owner[addr] != id {
 			return
 		}
@@ -373,7 +373,7 @@
 		s := free[at]
 		free[at] = free[len(free)-1]
 		free = free[:len(free)-1]
-		w.After(w.service(s.target), func() {
+		w.AfterFunc(w.service(s.target), func() {
 			_ = w.hist.RecordValue(int64(w.Now().Sub(came) + 2*w.way("e0", s.target)))
 			free = append(free, s)
 			if len(waiting) > 0 {
@@ -411,12 +411,12 @@
 		for i := range mine {
 			clear(mine[i])
 		}
-		w.After(beatStep, report)
+		w.AfterFunc(beatStep, report)
 	}
 	report()
 	var start func(t int, came time.Time)
 	start = func(t int, came time.Time) {
-		w.After(w.service(fmt.Sprintf("t%02d", t)), func() {
+		w.AfterFunc(w.service(fmt.Sprintf("t%02d", t)), func() {
 			_ = w.hist.RecordValue(int64(w.Now().Sub(came) + w.way("e0", fmt.Sprintf("t%02d", t))))
 			load[t]--
 			if len(lines[t]) > 0 {
@@ -433,7 +433,7 @@
 			a = b
 		}
 		mine[core][a]++
-		w.After(w.way("e0", fmt.Sprintf("t%02d", a)), func() {
+		w.AfterFunc(w.way("e0", fmt.Sprintf("t%02d", a)), func() {
 			load[a]++
 			if load[a] > slots {
 				lines[a] = append(lines[a], came)
@@ -449,7 +449,7 @@
 	end := w.Now().Add(span)
 	var next func()
 	next = func() {
-		w.After(time.Duration(w.rand.ExpFloat64()/rate*float64(time.Second)), func() {
+		w.AfterFunc(time.Duration(w.rand.ExpFloat64()/rate*float64(time.Second)), func() {
 			if w.Now().Before(end) {
 				do()
 				next()
@@ -457,7 +457,7 @@
 		})
 	}
 	next()
-	w.Run(end.Add(time.Second))
+	w.RunUntil(end.Add(time.Second))
 }
 
 // BenchmarkTail measures answer times against one ideal queue and two random choices
@@ -503,9 +503,9 @@
 				w.slow = slow
 				w.load(rate, w.Now().Add(span), 10*time.Second)
 				if tc.kill {
-					w.After(span/2, func() { w.kill("e4") })
+					w.AfterFunc(span/2, func() { w.kill("e4") })
 				}
-				w.Run(w.Now().Add(span + time.Second))
+				w.RunUntil(w.Now().Add(span + time.Second))
 				q := ideal(1, targets, slots, rate, tc.mean, tc.hop, span, slow)
 				p := twoChoices(1, cores, targets, slots, rate, tc.mean, tc.hop, span, slow)
 				for _, at := range []float64{50, 99, 99.9} {
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -235,7 +235,7 @@
 			t.Fatalf("refusal %d: %v", i, err)
 		}
 	}
-	if got := target.Accepted(); got != 1 {
+	if got := target.AcceptedConns(); got != 1 {
 		t.Errorf("%d connections made for 20 refusals, want 1", got)
 	}
 }
