--- a/internal/proc/tool/host.go
+++ b/internal/proc/tool/host.go
@@ -49,11 +49,11 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	h, err := front.Start(set, front.Outside{
-		Store:     platform.NewStore(set.Store.Addr, storeLimit),
+		Store:     platform.NewStoreClient(set.Store.Addr, storeLimit),
 		Workers:   platform.NewWorkerClient(front.WorkerConns(set.Limit)),
-		Codec:     platform.Codec(),
-		Callers:   func(d *front.Desk) http.Handler { return platform.Callers(d) },
-		Readiness: platform.Readiness,
+		Codec:     platform.NewCodec(),
+		Callers:   func(d *front.Desk) http.Handler { return platform.NewCallerHandler(d) },
+		Readiness: platform.NewReadinessHandler,
 	}, log)
 	if err != nil {
 		return err
