--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -46,8 +46,8 @@
 
 type demoHost struct {
 	name string
-	host *front.Host
-	desk *front.Desk
+	host *front.Process
+	desk *front.Forwarder
 
 	mu   sync.Mutex
 	mode multi.Mode
@@ -102,13 +102,13 @@
 			Bound:  conf.Bound{MaxWorkerLeaseMillis: 6000, MaxStopMillis: 200, GraceSeconds: 6, JobRetentionSeconds: 120},
 		}
 		var err error
-		h.host, err = front.Start(set, front.Outside{
-			Store: d.store.Client(h.get), Workers: d.crew.Client(func(sched.Member) bool { return false }), Codec: plain.New(),
-			Callers: func(desk *front.Desk) http.Handler {
+		h.host, err = front.Start(set, front.Adapters{
+			Store: d.store.Client(h.get), WorkerClient: d.crew.Client(func(sched.Member) bool { return false }), Codec: plain.New(),
+			CallerHandler: func(desk *front.Forwarder) http.Handler {
 				h.desk = desk
 				return http.NotFoundHandler()
 			},
-			Readiness: func(func() bool) http.Handler { return http.NotFoundHandler() },
+			ReadinessHandler: func(func() bool) http.Handler { return http.NotFoundHandler() },
 		}, logr.Discard())
 		if err != nil {
 			return err
--- a/internal/proc/front/carry_test.go
+++ b/internal/proc/front/capacity_test.go
@@ -6,7 +6,7 @@
 	"bramleysail.example/bramleysail/internal/base/conf"
 )
 
-func TestCarries(t *testing.T) {
+func TestWorkerCapacity(t *testing.T) {
 	roomy := conf.HostLimit{CPUShare: 0.8, CoreSpeed: 1, MemoryMiB: 536, MaxFiles: 8192, LinkMbps: 200}
 	with := func(change func(l *conf.HostLimit)) conf.HostLimit {
 		l := roomy
@@ -33,13 +33,13 @@
 		{"processor not known and slower", with(func(l *conf.HostLimit) { l.CPUShare = 0 }), 6, 1598},
 		{"processor not known", with(func(l *conf.HostLimit) { l.CPUShare = 0 }), 1, 1598},
 	} {
-		if got := carries(tt.l, tt.slower); got != tt.want {
+		if got := workerCapacity(tt.l, tt.slower); got != tt.want {
 			t.Errorf("%s: %d workers, want %d", tt.name, got, tt.want)
 		}
 	}
 }
 
-func TestWorkerConns(t *testing.T) {
+func TestMaxWorkerConns(t *testing.T) {
 	for _, tt := range []struct {
 		files float64
 		want  int
@@ -49,7 +49,7 @@
 		{700, 395},
 		{4100, 3285},
 	} {
-		if got := WorkerConns(conf.HostLimit{MaxFiles: tt.files}); got != tt.want {
+		if got := MaxWorkerConns(conf.HostLimit{MaxFiles: tt.files}); got != tt.want {
 			t.Errorf("of %v descriptors %d connections, want %d", tt.files, got, tt.want)
 		}
 	}
--- a/internal/proc/front/desk.go
+++ b/internal/proc/front/forward.go
@@ -15,43 +15,43 @@
 	"bramleysail.example/bramleysail/internal/peer/link"
 )
 
-// Desk answers callers' requests through whoever holds.
-type Desk struct {
-	log   logr.Logger
-	scope tally.Scope
-	lead  *lead.Elector
-	links link.Set
-	peers *peers
-	name  string
+// Forwarder answers callers' requests through whoever holds.
+type Forwarder struct {
+	log     logr.Logger
+	scope   tally.Scope
+	elector *lead.Elector
+	links   link.Set
+	monitor *peerMonitor
+	name    string
 
-	mu      sync.Mutex
-	holder  *drive.Holder // this process's own, while it holds
-	version int64         // newest configuration that an answer was based on
+	mu            sync.Mutex
+	holder        *drive.Holder // this process's own, while it holds
+	newestVersion int64         // newest configuration that an answer was based on
 }
 
-// answerLimit bounds a request that came without a deadline.
-const answerLimit = 3 * time.Second
+// defaultRequestTimeout bounds a request that came without a deadline.
+const defaultRequestTimeout = 3 * time.Second
 
 // Handle answers a request from here or, if another process holds, from there.
-func (d *Desk) Handle(ctx context.Context, a drive.Request) drive.Reply {
+func (d *Forwarder) Handle(ctx context.Context, a drive.Request) drive.Reply {
 	began := time.Now()
-	rep := d.newest(ctx, a, d.pass)
-	d.tell(a, rep, time.Since(began))
+	rep := d.answerFromNewestConfig(ctx, a, d.forward)
+	d.recordAnswer(a, rep, time.Since(began))
 	return rep
 }
 
-// newest has a request answered by the newest configuration that an answer from here was based on.
+// answerFromNewestConfig has a request answered by the answerFromNewestConfig configuration that an answer from here was based on.
 //
 // The failure it guards against: a former holder that doesn't know it has been replaced would
 // take a configuration back. An older one also shows in the answer to a request that was on its
 // way to the store as the configuration changed; ended as of unknown outcome, that job was
 // lost to its caller. Asked again, whoever holds now answers for what it has stored.
-func (d *Desk) newest(ctx context.Context, a drive.Request, pass func(context.Context, drive.Request) drive.Reply) drive.Reply {
+func (d *Forwarder) answerFromNewestConfig(ctx context.Context, a drive.Request, pass func(context.Context, drive.Request) drive.Reply) drive.Reply {
 	rep := pass(ctx, a)
 	carried := false // it may have been, by an answer that was based on an older configuration
-	for d.older(rep.Version) {
+	for d.isOlderVersion(rep.Version) {
 		carried = carried || a.Verb != drive.VerbState && (rep.Result == drive.ResultDone || rep.Result == drive.ResultUnknown)
-		if !wait.For(ctx, retryPause) {
+		if !wait.For(ctx, retryInterval) {
 			rep = drive.RefusedReply("answer of a former holder", drive.RetryAfterHolderChange)
 			break
 		}
@@ -63,48 +63,48 @@
 	return rep
 }
 
-// tell logs an answer that a caller may ask about: any that isn't what was asked for.
-func (d *Desk) tell(a drive.Request, rep drive.Reply, took time.Duration) {
+// recordAnswer logs an answer that a caller may ask about: any that isn't what was asked for.
+func (d *Forwarder) recordAnswer(a drive.Request, rep drive.Reply, took time.Duration) {
 	d.scope.Tagged(map[string]string{"verb": string(a.Verb), "result": string(rep.Result)}).Counter("answers").Inc(1)
-	d.scope.Tagged(map[string]string{"verb": string(a.Verb)}).Histogram("answer_time", answerTimes).RecordDuration(took)
+	d.scope.Tagged(map[string]string{"verb": string(a.Verb)}).Histogram("answer_time", answerTimeBuckets).RecordDuration(took)
 	switch rep.Result {
 	case drive.ResultRefused, drive.ResultUnknown, drive.ResultBad, drive.ResultNoJob:
 		d.log.Info("answer", "verb", a.Verb, "path", a.Path, "result", rep.Result, "why", rep.Why, "version", rep.Version, "took", took)
 	}
 }
 
-// answerTimes are the bounds of the histogram of answers: from within one host to the longest deadline.
-var answerTimes = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 13)
+// answerTimeBuckets are the bounds of the histogram of answers: from within one host to the longest deadline.
+var answerTimeBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 13)
 
-func (d *Desk) older(version int64) bool {
+func (d *Forwarder) isOlderVersion(version int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if version == 0 || version >= d.version {
-		d.version = max(version, d.version)
+	if version == 0 || version >= d.newestVersion {
+		d.newestVersion = max(version, d.newestVersion)
 		return false
 	}
 	return true
 }
 
-// pass has the holder answer. A holder that falls silent may have carried the request out; as
+// forward has the holder answer. A holder that falls silent may have carried the request out; as
 // every request is idempotent by its job's id, the next holder is asked then.
 //
 // The failure it guards against: a host without power doesn't reset connections, and every
 // request sent to it would hang until its deadline and end without a known outcome.
 //
 // Where the store is silent too, no next holder can come, and the caller is told at once.
-func (d *Desk) pass(ctx context.Context, a drive.Request) drive.Reply {
+func (d *Forwarder) forward(ctx context.Context, a drive.Request) drive.Reply {
 	sent := false
 	for {
-		holder, changed := d.lead.Holder()
-		away, isAway := d.peers.cutOff()
-		if isAway && d.own() == nil {
+		holder, changed := d.elector.Holder()
+		away, isAway := d.monitor.isolation()
+		if isAway && d.localHolder() == nil {
 			if !sent {
-				return drive.RefusedReply(whyAway, drive.RetryAfterHolderChange)
+				return drive.RefusedReply(reasonIsolated, drive.RetryAfterHolderChange)
 			}
-			return open(a, whyAway)
+			return unknownOutcomeReply(a, reasonIsolated)
 		}
-		rep, err := d.try(ctx, holder, changed, away, a)
+		rep, err := d.callHolder(ctx, holder, changed, away, a)
 		switch {
 		case err == nil && !(sent && rep.Result == drive.ResultRefused):
 			return rep
@@ -118,41 +118,41 @@
 		select {
 		case <-ctx.Done():
 			if errors.Is(ctx.Err(), context.Canceled) {
-				return open(a, "caller left")
+				return unknownOutcomeReply(a, "caller left")
 			}
-			return open(a, "holder doesn't answer")
+			return unknownOutcomeReply(a, "holder doesn't answer")
 		case <-changed:
 		case <-away:
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// retryPause is between two tries to learn what became of a request.
-const retryPause = 100 * time.Millisecond
+// retryInterval is between two tries to learn what became of a request.
+const retryInterval = 100 * time.Millisecond
 
-// open is the reply for a request whose outcome isn't known.
-func open(a drive.Request, why string) drive.Reply {
+// unknownOutcomeReply is the reply for a request whose outcome isn't known.
+func unknownOutcomeReply(a drive.Request, why string) drive.Reply {
 	if a.Verb == drive.VerbState {
 		return drive.RefusedReply(why, drive.RetryAfterHolderChange)
 	}
 	return drive.Reply{Result: drive.ResultUnknown, Why: why}
 }
 
-// whyAway is why nobody can answer a request here.
-const whyAway = "neither holder nor store answers"
+// reasonIsolated is why nobody can answer a request here.
+const reasonIsolated = "neither holder nor store answers"
 
-// errNone says that no process is known to hold.
-var errNone = errors.New("front: no holder")
+// errNoHolder says that no process is known to hold.
+var errNoHolder = errors.New("front: no holder")
 
-// try asks one holder, until it answers, another takes its place or there can be no answer; link.ErrLost says
+// callHolder asks one holder, until it answers, another takes its place or there can be no answer; link.ErrLost says
 // that the request may have been carried out.
-func (d *Desk) try(ctx context.Context, holder lead.Holder, changed, away <-chan struct{}, a drive.Request) (drive.Reply, error) {
-	if h := d.own(); h != nil {
+func (d *Forwarder) callHolder(ctx context.Context, holder lead.Holder, changed, away <-chan struct{}, a drive.Request) (drive.Reply, error) {
+	if h := d.localHolder(); h != nil {
 		return h.Handle(ctx, a), nil
 	}
 	if holder.Name == "" || holder.Name == d.name {
-		return drive.Reply{}, errNone
+		return drive.Reply{}, errNoHolder
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -168,13 +168,13 @@
 	return link.Call[drive.Request, drive.Reply](ctx, d.links.Get(holder.Addr), "Peer.Handle", a)
 }
 
-func (d *Desk) own() *drive.Holder {
+func (d *Forwarder) localHolder() *drive.Holder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.holder
 }
 
-func (d *Desk) setOwn(h *drive.Holder) {
+func (d *Forwarder) setLocalHolder(h *drive.Holder) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.holder = h
@@ -182,18 +182,18 @@
 
 // Peer is what entry processes ask of each other, over net/rpc.
 type Peer struct {
-	d *Desk
-	p *peers
+	forwarder *Forwarder
+	monitor   *peerMonitor
 }
 
 // Handle answers a request that another entry process took.
 func (p *Peer) Handle(a drive.Request, rep *drive.Reply) error {
-	h := p.d.own()
+	h := p.forwarder.localHolder()
 	if h == nil {
 		*rep = drive.RefusedReply("no longer the holder", drive.RetryAfterHolderChange)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), answerLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), defaultRequestTimeout)
 	defer cancel()
 	*rep = h.Handle(ctx, a)
 	return nil
@@ -201,35 +201,35 @@
 
 // Alive tells whether this process holds; the argument isn't used.
 func (p *Peer) Alive(_ int, yes *bool) error {
-	*yes = p.d.own() != nil
+	*yes = p.forwarder.localHolder() != nil
 	return nil
 }
 
 // Follow tells the holder that the process with a peer interface at addr follows it; the error
 // says that this one doesn't hold.
 func (p *Peer) Follow(addr string, _ *int) error {
-	if p.d.own() == nil {
-		return errNone
+	if p.forwarder.localHolder() == nil {
+		return errNoHolder
 	}
-	p.p.note(addr, time.Now())
+	p.monitor.recordFollower(addr, time.Now())
 	return nil
 }
 
-// Outlook is what a process tells the holder when this doesn't reach the store, or carries less
+// FollowerStatus is what a process tells the holder when this doesn't reach the store, or carries less
 // than its workers.
-type Outlook struct {
+type FollowerStatus struct {
 	Failing bool  // the store doesn't answer here either
 	Term    int64 // of the newest holder known
 	Carries int   // how many workers this process would hold; 0: not known, or none
 }
 
 // Outlook tells how the store looks from here; the argument isn't used.
-func (p *Peer) Outlook(_ int, out *Outlook) error {
-	ctx, cancel := context.WithTimeout(context.Background(), askLimit)
+func (p *Peer) Outlook(_ int, out *FollowerStatus) error {
+	ctx, cancel := context.WithTimeout(context.Background(), storeProbeTimeout)
 	defer cancel()
-	out.Failing = !p.d.lead.ProbeStore(ctx)
-	h, _ := p.d.lead.Holder()
+	out.Failing = !p.forwarder.elector.ProbeStore(ctx)
+	h, _ := p.forwarder.elector.Holder()
 	out.Term = h.Term
-	out.Carries = p.p.carries()
+	out.Carries = p.monitor.capacity()
 	return nil
 }
--- a/internal/proc/front/desk_test.go
+++ b/internal/proc/front/forward_test.go
@@ -13,7 +13,7 @@
 // and another answer of the same host is based on the new one. The book's own answer comes as of
 // the old one. It is stored, so the shop has to hear so, and not that nobody knows. A former
 // holder's word alone is never passed on.
-func TestNewest(t *testing.T) {
+func TestAnswerFromNewestConfig(t *testing.T) {
 	done := func(v int64) drive.Reply { return drive.Reply{Result: drive.ResultDone, Version: v} }
 	for _, tt := range []struct {
 		name    string
@@ -32,11 +32,11 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &Desk{version: 6}
+				d := &Forwarder{newestVersion: 6}
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
 				n := 0
-				got := d.newest(ctx, drive.Request{Verb: tt.verb}, func(context.Context, drive.Request) drive.Reply {
+				got := d.answerFromNewestConfig(ctx, drive.Request{Verb: tt.verb}, func(context.Context, drive.Request) drive.Reply {
 					rep := tt.replies[min(n, len(tt.replies)-1)]
 					n++
 					return rep
--- a/internal/proc/tool/host.go
+++ b/internal/proc/tool/host.go
@@ -48,12 +48,12 @@
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	h, err := front.Start(set, front.Outside{
-		Store:     platform.NewStoreClient(set.Store.Addr, storeLimit),
-		Workers:   platform.NewWorkerClient(front.WorkerConns(set.Limit)),
-		Codec:     platform.NewCodec(),
-		Callers:   func(d *front.Desk) http.Handler { return platform.NewCallerHandler(d) },
-		Readiness: platform.NewReadinessHandler,
+	h, err := front.Start(set, front.Adapters{
+		Store:            platform.NewStoreClient(set.Store.Addr, storeLimit),
+		WorkerClient:     platform.NewWorkerClient(front.MaxWorkerConns(set.Limit)),
+		Codec:            platform.NewCodec(),
+		CallerHandler:    func(d *front.Forwarder) http.Handler { return platform.NewCallerHandler(d) },
+		ReadinessHandler: platform.NewReadinessHandler,
 	}, log)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 			log.Info("reload", "file", file, "valid", err == nil)
 			continue
 		case <-ctx.Done():
-		case <-h.Lost():
+		case <-h.ListenerFailed():
 			err = errors.New("bramleysail: a listener was lost")
 		}
 		break
