--- a/internal/model/trace/fault.go
+++ b/internal/model/trace/fault.go
@@ -20,23 +20,23 @@
 
 // Fault is a fault of a day.
 type Fault struct {
-	Kind   FaultKind
-	Worker int // index; of no meaning for a burst
-	Queue  int // index of the kind of job of a burst
-	At     time.Duration
-	For    time.Duration
-	Factor float64 // of slowness or of arrivals
+	Kind     FaultKind
+	Worker   int // index; of no meaning for a burst
+	JobKind  int // index of the kind of job of a burst
+	Start    time.Duration
+	Duration time.Duration
+	Factor   float64 // of slowness or of arrivals
 }
 
 // Active reports whether the fault is in force at a time of the day.
-func (f *Fault) Active(at time.Duration) bool { return at >= f.At && at < f.At+f.For }
+func (f *Fault) Active(at time.Duration) bool { return at >= f.Start && at < f.Start+f.Duration }
 
 // faultRate says how often faults of a kind come and how long they stay.
 type faultRate struct {
-	kind        FaultKind
-	every       float64 // mean seconds between two
-	least, most float64 // seconds
-	factor      float64
+	kind                     FaultKind
+	meanInterval             float64 // mean seconds between two
+	minDuration, maxDuration float64 // seconds
+	factor                   float64
 }
 
 var faultRates = []faultRate{
@@ -56,55 +56,55 @@
 	return all
 }
 
-// Faults returns the faults of the given kinds, the same for the same seed. Those of a kind don't depend on the others.
-func (d *Day) Faults(kinds []FaultKind, seed uint64) []Fault {
+// GenerateFaults returns the faults of the given kinds, the same for the same seed. Those of a kind don't depend on the others.
+func (d *Scenario) GenerateFaults(kinds []FaultKind, seed uint64) []Fault {
 	var all []Fault
 	for i, r := range faultRates {
 		if !slices.Contains(kinds, r.kind) {
 			continue
 		}
-		rng := rand.New(rand.NewPCG(seed, uint64(faultStream+i)))
-		for at := rng.ExpFloat64() * r.every; at < d.Length.Seconds(); at += rng.ExpFloat64() * r.every {
+		rng := rand.New(rand.NewPCG(seed, uint64(faultStreamBase+i)))
+		for at := rng.ExpFloat64() * r.meanInterval; at < d.Duration.Seconds(); at += rng.ExpFloat64() * r.meanInterval {
 			all = append(all, Fault{
-				Kind: r.kind, Worker: rng.IntN(d.Workers), Queue: d.brief(rng), Factor: r.factor,
-				At: seconds(at), For: seconds(r.least + (r.most-r.least)*rng.Float64()),
+				Kind: r.kind, Worker: rng.IntN(d.WorkerCount), JobKind: d.randomFiniteKind(rng), Factor: r.factor,
+				Start: toDuration(at), Duration: toDuration(r.minDuration + (r.maxDuration-r.minDuration)*rng.Float64()),
 			})
 		}
 	}
 	return all
 }
 
-// brief returns the index of a kind of job whose jobs end.
-func (d *Day) brief(rng *rand.Rand) int {
+// randomFiniteKind returns the index of a kind of job whose jobs end.
+func (d *Scenario) randomFiniteKind(rng *rand.Rand) int {
 	for {
-		if i := rng.IntN(len(d.Kinds)); !d.Kinds[i].Lasting {
+		if i := rng.IntN(len(d.JobKinds)); !d.JobKinds[i].LongRunning {
 			return i
 		}
 	}
 }
 
-// bursts returns the jobs that bursts of a kind add, numbered from n on.
-func (d *Day) bursts(kind int, faults []Fault, start time.Time, load float64, seed uint64, n int) []*Job {
-	rng := rand.New(rand.NewPCG(seed, uint64(burstStream+kind)))
-	k := &d.Kinds[kind]
+// generateBurstJobs returns the jobs that generateBurstJobs of a kind add, numbered from n on.
+func (d *Scenario) generateBurstJobs(kind int, faults []Fault, start time.Time, load float64, seed uint64, n int) []*Job {
+	rng := rand.New(rand.NewPCG(seed, uint64(burstStreamBase+kind)))
+	k := &d.JobKinds[kind]
 	var all []*Job
 	for _, f := range faults {
-		if f.Kind != FaultBurst || f.Queue != kind {
+		if f.Kind != FaultBurst || f.JobKind != kind {
 			continue
 		}
-		rate := k.Rate * load * (f.Factor - 1)
-		for at := f.At + seconds(rng.ExpFloat64()/rate); f.Active(at) && at < d.Length; at += seconds(rng.ExpFloat64() / rate) {
-			all = append(all, k.draw(rng, start, at, n))
+		rate := k.ArrivalRate * load * (f.Factor - 1)
+		for at := f.Start + toDuration(rng.ExpFloat64()/rate); f.Active(at) && at < d.Duration; at += toDuration(rng.ExpFloat64() / rate) {
+			all = append(all, k.generateJob(rng, start, at, n))
 			n++
 		}
 	}
 	return all
 }
 
-func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+func toDuration(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
 // Streams of random numbers of a day's seed: the first for faults, and the first for the jobs of bursts.
 const (
-	faultStream = 100
-	burstStream = 200
+	faultStreamBase = 100
+	burstStreamBase = 200
 )
--- a/internal/model/trial/ideal.go
+++ b/internal/model/trial/ideal.go
@@ -8,90 +8,90 @@
 	"bramleysail.example/bramleysail/internal/model/world"
 )
 
-// ideal plays a day with all workers as one without faults, which knows what each task takes and where
+// simulateIdeal plays a day with all workers as one without faults, which knows what each task takes and where
 // nothing disturbs anything: what no scheduler exceeds by much. Lasting tasks are always at
 // work; the rest is ordered by the latest start with which a job is on time.
-func ideal(d *trace.Day, jobs []*trace.Job, start time.Time) *Result {
+func simulateIdeal(d *trace.Scenario, jobs []*trace.Job, start time.Time) *Result {
 	res := &Result{}
 	cores := 0.0
-	for i := range d.Workers {
-		cores += float64(d.Sizes[i%len(d.Sizes)])
+	for i := range d.WorkerCount {
+		cores += float64(d.WorkerCPUs[i%len(d.WorkerCPUs)])
 	}
 	var all []*idealJob
 	for _, j := range jobs {
-		if !j.Kind.Lasting {
+		if !j.Kind.LongRunning {
 			all = append(all, &idealJob{Job: j})
 			continue
 		}
-		cores -= lastingUse * float64(j.Job.Steps[0].Count*j.Job.Steps[0].Size.CPU)
-		t := res.tally(j.Kind.Name)
-		for at := max(warmup, j.At); at < d.Length; {
-			next := min(at.Truncate(window)+window, d.Length)
-			worth := (next - at).Seconds() / slot.Seconds() * j.Kind.Worth
-			res.count(t, at, worth, worth)
+		cores -= longRunningUsageShare * float64(j.Spec.Steps[0].Count*j.Spec.Steps[0].Size.CPU)
+		t := res.tallyOf(j.Kind.Name)
+		for at := max(warmup, j.SubmittedAt); at < d.Duration; {
+			next := min(at.Truncate(valueWindow)+valueWindow, d.Duration)
+			worth := (next - at).Seconds() / longRunningValuePeriod.Seconds() * j.Kind.OnTimeValue
+			res.addValue(t, at, worth, worth)
 			at = next
 		}
 	}
 	var open []*idealJob
-	for at := time.Duration(0); at < d.Length+tailing; at += world.Tick {
-		for len(all) > 0 && all[0].At <= at {
+	for at := time.Duration(0); at < d.Duration+drainTime; at += world.Tick {
+		for len(all) > 0 && all[0].SubmittedAt <= at {
 			open = append(open, all[0])
 			all = all[1:]
 		}
-		slices.SortStableFunc(open, func(a, b *idealJob) int { return int(a.latest(at) - b.latest(at)) })
+		slices.SortStableFunc(open, func(a, b *idealJob) int { return int(a.latestStart(at) - b.latestStart(at)) })
 		rest := open[:0]
 		for _, j := range open {
-			if !j.step(at, &cores) {
+			if !j.advance(at, &cores) {
 				rest = append(rest, j)
 				continue
 			}
-			res.ended(j.Job, at-j.At)
+			res.addCompleted(j.Job, at-j.SubmittedAt)
 		}
 		open = rest
 	}
 	for _, j := range open {
-		res.missed(j.Job)
+		res.addUnfinished(j.Job)
 	}
-	res.weak = []float64{res.weakest()}
+	res.worstWindowShares = []float64{res.worstWindowShare()}
 	return res
 }
 
 // idealJob is a job with the times at which the tasks of its present step end.
 type idealJob struct {
 	*trace.Job
-	now  int
-	ends []time.Duration
+	currentStep int
+	taskEnds    []time.Duration
 }
 
-// hopeless moves a job that can't be on time any more behind those that can.
-const hopeless = time.Hour
+// missedDeadlineOffset moves a job that can't be on time any more behind those that can.
+const missedDeadlineOffset = time.Hour
 
-func (j *idealJob) latest(at time.Duration) time.Duration {
+func (j *idealJob) latestStart(at time.Duration) time.Duration {
 	left := time.Duration(0)
-	for i := j.now; i < len(j.Work); i++ {
-		left += j.Longest(i)
+	for i := j.currentStep; i < len(j.TaskDurations); i++ {
+		left += j.LongestTask(i)
 	}
-	l := j.At + j.Objective() - left
-	if len(j.ends) == 0 && l < at {
-		l += hopeless
+	l := j.SubmittedAt + j.RelativeDeadline() - left
+	if len(j.taskEnds) == 0 && l < at {
+		l += missedDeadlineOffset
 	}
 	return l
 }
 
-// step starts what fits and reports whether the job has ended.
-func (j *idealJob) step(at time.Duration, cores *float64) bool {
-	s := &j.Job.Job.Steps[j.now]
-	for len(j.ends) < s.Count && *cores >= float64(s.Size.CPU) {
+// advance starts what fits and reports whether the job has ended.
+func (j *idealJob) advance(at time.Duration, cores *float64) bool {
+	s := &j.Job.Spec.Steps[j.currentStep]
+	for len(j.taskEnds) < s.Count && *cores >= float64(s.Size.CPU) {
 		*cores -= float64(s.Size.CPU)
-		t := len(j.ends)
-		j.ends = append(j.ends, at+time.Duration(1+j.Fails[j.now][t])*j.Work[j.now][t])
+		t := len(j.taskEnds)
+		j.taskEnds = append(j.taskEnds, at+time.Duration(1+j.FailedRuns[j.currentStep][t])*j.TaskDurations[j.currentStep][t])
 	}
-	left := s.Count - len(j.ends)
-	for i, e := range j.ends {
+	left := s.Count - len(j.taskEnds)
+	for i, e := range j.taskEnds {
 		switch {
 		case e < 0:
 		case e <= at:
-			j.ends[i] = -1
+			j.taskEnds[i] = -1
 			*cores += float64(s.Size.CPU)
 		default:
 			left++
@@ -100,6 +100,6 @@
 	if left > 0 {
 		return false
 	}
-	j.now, j.ends = j.now+1, nil
-	return j.now == len(j.Work)
+	j.currentStep, j.taskEnds = j.currentStep+1, nil
+	return j.currentStep == len(j.TaskDurations)
 }
--- a/internal/model/trial/plot.go
+++ b/internal/model/trial/plot.go
@@ -10,8 +10,8 @@
 
 // Room around the plot, in pixels; the legend stands above it.
 const (
-	legendRoom = 50
-	margin     = 20
+	legendHeight = 50
+	margin       = 20
 )
 
 // Plot draws the share of the worth that each policy earned against the load, as SVG. It needs
@@ -27,17 +27,17 @@
 			names = append(names, r.Policy)
 		}
 		s.XValues = append(s.XValues, r.Load)
-		s.YValues = append(s.YValues, r.Result.Worth())
+		s.YValues = append(s.YValues, r.Result.ValueShare())
 	}
 	slices.Sort(names)
 	graph := chart.Chart{
-		Background: chart.Style{Padding: chart.Box{Top: legendRoom, Left: margin, Right: margin, Bottom: margin}},
+		Background: chart.Style{Padding: chart.Box{Top: legendHeight, Left: margin, Right: margin, Bottom: margin}},
 		XAxis:      chart.XAxis{Name: "load"},
 		YAxis:      chart.YAxis{Name: "worth earned, of what was owed", Range: &chart.ContinuousRange{Min: 0, Max: 1}},
 	}
 	for _, name := range names {
 		if len(lines[name].XValues) < 2 {
-			return errors.Wrap(ErrPlan, "a plot needs two loads or more")
+			return errors.Wrap(ErrInvalidConfig, "a plot needs two loads or more")
 		}
 		graph.Series = append(graph.Series, *lines[name])
 	}
--- a/internal/model/trial/parts_test.go
+++ b/internal/model/trial/stats_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestParts(t *testing.T) {
+func TestMeanWorstWindowShare(t *testing.T) {
 	second := time.Second
 	for _, tt := range []struct {
 		name    string
@@ -21,10 +21,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			r := &Result{}
 			for _, c := range tt.counts {
-				r.count(r.tally("k"), time.Duration(c.at*float64(second)), c.owed, c.earned)
+				r.addValue(r.tallyOf("k"), time.Duration(c.at*float64(second)), c.owed, c.earned)
 			}
-			r.weak = []float64{r.weakest()}
-			if got := r.WorstWindows(); math.Abs(got-tt.windows) > 1e-9 {
+			r.worstWindowShares = []float64{r.worstWindowShare()}
+			if got := r.MeanWorstWindowShare(); math.Abs(got-tt.windows) > 1e-9 {
 				t.Errorf("worst windows %g, want %g", got, tt.windows)
 			}
 		})
@@ -32,7 +32,7 @@
 }
 
 func TestWorstKind(t *testing.T) {
-	r := &Result{Kinds: map[string]*Tally{"a": {Owed: 2, Earned: 2}, "b": {Owed: 4, Earned: 1}, "c": {Owed: 4, Earned: 2}}}
+	r := &Result{Kinds: map[string]*Tally{"a": {PossibleValue: 2, EarnedValue: 2}, "b": {PossibleValue: 4, EarnedValue: 1}, "c": {PossibleValue: 4, EarnedValue: 2}}}
 	if name, least := r.WorstKind(); name != "b" || least != 0.25 {
 		t.Errorf("worst kind %s with %g, want b with 0.25", name, least)
 	}
--- a/internal/model/world/fault.go
+++ b/internal/model/world/fault.go
@@ -7,15 +7,15 @@
 	"bramleysail.example/bramleysail/internal/model/trace"
 )
 
-// Strike brings the workers into the state that the faults at this time want, and reports whether a worker has left
+// ApplyFaults brings the workers into the state that the faults at this time want, and reports whether a worker has left
 // or come.
-func (w *World) Strike(now time.Time) bool {
+func (w *World) ApplyFaults(now time.Time) bool {
 	if len(w.faults) == 0 {
 		return false
 	}
 	away := map[int]bool{}
 	for _, k := range w.Workers {
-		k.slow, k.sick = 1, false
+		k.slowdown, k.failsTasks = 1, false
 	}
 	for i := range w.faults {
 		f := &w.faults[i]
@@ -25,11 +25,11 @@
 		k := w.Workers[f.Worker]
 		switch f.Kind {
 		case trace.FaultSlow:
-			k.slow = max(k.slow, f.Factor)
+			k.slowdown = max(k.slowdown, f.Factor)
 		case trace.FaultHang:
-			k.slow = math.Inf(1)
+			k.slowdown = math.Inf(1)
 		case trace.FaultFail:
-			k.sick = true
+			k.failsTasks = true
 		case trace.FaultLeave:
 			away[f.Worker] = true
 		}
@@ -37,10 +37,10 @@
 	changed := false
 	for i, k := range w.Workers {
 		switch {
-		case away[i] && !k.away:
-			w.lose(k)
-		case !away[i] && k.away:
-			k.away, k.born = false, now
+		case away[i] && !k.lost:
+			w.loseWorker(k)
+		case !away[i] && k.lost:
+			k.lost, k.startedAt = false, now
 			k.Member.StartedAt++
 		default:
 			continue
@@ -50,12 +50,12 @@
 	return changed
 }
 
-// lose drops a worker with all that runs there.
-func (w *World) lose(k *Worker) {
+// loseWorker drops a worker with all that runs there.
+func (w *World) loseWorker(k *Worker) {
 	for _, t := range k.Tasks {
 		if !t.Step.LongRunning {
-			w.Wasted += t.done.Seconds() * float64(t.Step.Size.CPU) / 1000
+			w.WastedCoreSeconds += t.workDone.Seconds() * float64(t.Step.Size.CPU) / 1000
 		}
 	}
-	k.away, k.Tasks, k.ends, k.seq = true, nil, nil, 0
+	k.lost, k.Tasks, k.finishedRuns, k.lastSeq = true, nil, nil, 0
 }
--- a/internal/proc/tool/model.go
+++ b/internal/proc/tool/model.go
@@ -22,13 +22,13 @@
 			&cli.StringFlag{Name: "day", Usage: "association, wildheart or backlog, a long one with more work than there is room for", Value: "association"},
 			&cli.FloatSliceFlag{Name: "load", Usage: "arrivals against those measured; may be given several times", Value: []float64{1}},
 			&cli.IntFlag{Name: "seeds", Usage: "days to play for each load and policy", Value: 4},
-			&cli.StringSliceFlag{Name: "policy", Usage: "product, first or ideal; may be given several times", Value: []string{trial.First, trial.Product, trial.Ideal}},
+			&cli.StringSliceFlag{Name: "policy", Usage: "product, first or ideal; may be given several times", Value: []string{trial.PolicyFirstFit, trial.PolicyProduct, trial.PolicyIdeal}},
 			&cli.StringSliceFlag{Name: "fault", Usage: "slow, hang, fail or leave, of workers, or burst, of arrivals, drawn from the seed; may be given several times"},
 			&cli.StringFlag{Name: "plot", Usage: "also draw worth against load into `FILE`, as SVG; needs two loads or more"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			rows, err := trial.Run(trial.Plan{
-				Day: c.String("day"), Loads: c.FloatSlice("load"), Seeds: c.Int("seeds"), Policies: c.StringSlice("policy"),
+			rows, err := trial.Run(trial.Config{
+				Scenario: c.String("day"), Loads: c.FloatSlice("load"), Seeds: c.Int("seeds"), Policies: c.StringSlice("policy"),
 				Faults: c.StringSlice("fault"),
 			})
 			if err != nil {
@@ -39,18 +39,18 @@
 					return err
 				}
 			}
-			if err := trial.Write(out, rows); err != nil {
+			if err := trial.WriteSummary(out, rows); err != nil {
 				return err
 			}
 			fmt.Fprintln(out)
-			return trial.WriteParts(out, rows)
+			return trial.WriteDetails(out, rows)
 		},
 	}
 }
 
 // invalid gives an error about what was asked for its exit code.
 func invalid(err error) error {
-	if errors.Is(err, trial.ErrPlan) {
+	if errors.Is(err, trial.ErrInvalidConfig) {
 		return exit{err, ExitInvalid}
 	}
 	return err
