--- a/internal/batch/drive/cluster_test.go
+++ b/internal/batch/drive/cluster_test.go
@@ -16,17 +16,17 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 	"bramleysail.example/bramleysail/internal/batch/wire"
 	"bramleysail.example/bramleysail/internal/ctrl/lead"
-	fakecrew "bramleysail.example/bramleysail/internal/fake/crew"
-	"bramleysail.example/bramleysail/internal/fake/multi"
-	"bramleysail.example/bramleysail/internal/fake/plain"
+	"bramleysail.example/bramleysail/internal/fake/codec"
+	"bramleysail.example/bramleysail/internal/fake/fleet"
+	"bramleysail.example/bramleysail/internal/fake/txkv"
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
 // testCluster is a cluster of hosts, workers and a store, for use in a synctest bubble.
 type testCluster struct {
 	t       *testing.T
-	store   *multi.Service
-	workers *fakecrew.Fleet
+	store   *txkv.Service
+	workers *fleet.Fleet
 	hosts   []*host
 
 	wrapWorkers func(drive.WorkerClient) drive.WorkerClient // wraps each host's client of the workers; nil: no wrapper
@@ -60,7 +60,7 @@
 	capacity atomic.Int64 // workers that it can handle as the holder; 0: unknown
 
 	mu     sync.Mutex
-	mode   multi.Mode         // how the store treats the host
+	mode   txkv.Mode          // how the store treats the host
 	holder *drive.Holder      // nil while it isn't the holder
 	term   int64              // of holder
 	cancel context.CancelFunc // ends the process
@@ -69,8 +69,8 @@
 
 // newTestCluster starts a cluster; work returns how long a task runs and how it ends.
 func newTestCluster(t *testing.T, hosts, workers int, rng *rand.Rand, work func(string) (time.Duration, sched.End)) *testCluster {
-	c := &testCluster{t: t, store: &multi.Service{}}
-	c.workers = fakecrew.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rng, work)
+	c := &testCluster{t: t, store: &txkv.Service{}}
+	c.workers = fleet.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rng, work)
 	c.configure(sched.Config{Version: 1, Queues: []sched.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Tries: 3, Stretch: 2, Aim: time.Second}}})
 	c.listWorkers()
 	c.addHosts(hosts, 0, 0)
@@ -96,14 +96,14 @@
 
 // configure writes the operators' configuration into the store.
 func (c *testCluster) configure(config sched.Config) {
-	if err := plain.WriteConfig(c.store, config); err != nil {
+	if err := codec.WriteConfig(c.store, config); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 // listWorkers writes the workers into the directory.
 func (c *testCluster) listWorkers() {
-	if err := plain.WriteMembers(c.store, c.workers.Members()); err != nil {
+	if err := codec.WriteMembers(c.store, c.workers.Members()); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -113,11 +113,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
 	h.cpu = &processor{turn: h.cpu.turn} // no turns of the former process are queued
-	var client store.TxnStore = &slowStore{cpu: h.cpu, TxnStore: h.cluster.store.Client(func() multi.Mode {
+	var client store.TxnStore = &slowStore{cpu: h.cpu, TxnStore: h.cluster.store.Client(func() txkv.Mode {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.cluster.partitioned(h.zone, "store") {
-			return multi.ModeSilent
+			return txkv.ModeSilent
 		}
 		return h.mode
 	})}
@@ -132,8 +132,8 @@
 	h.wg.Go(func() {
 		elector.Run(ctx, func(tenure *lead.Tenure) {
 			_ = drive.Run(drive.Options{ // an error only means that the tenure ended while loading
-				Store: client, Workers: workers, Codec: plain.New(), Tenure: tenure, Log: logr.Discard(),
-				WorkerLease: drive.WorkerLease(fakecrew.MaxLease), MaxWorkerLease: fakecrew.MaxLease, MaxUnconfirmed: drive.MaxUnconfirmed, MaxStopTime: fakecrew.MaxStopTime, JobRetention: time.Hour,
+				Store: client, Workers: workers, Codec: codec.New(), Tenure: tenure, Log: logr.Discard(),
+				WorkerLease: drive.WorkerLease(fleet.MaxLease), MaxWorkerLease: fleet.MaxLease, MaxUnconfirmed: drive.MaxUnconfirmed, MaxStopTime: fleet.MaxStopTime, JobRetention: time.Hour,
 			}, func(holder *drive.Holder) { h.setHolder(holder, tenure.Term()) })
 			h.setHolder(nil, 0)
 		})
@@ -166,7 +166,7 @@
 }
 
 // setMode sets how the store treats the host.
-func (h *host) setMode(m multi.Mode) {
+func (h *host) setMode(m txkv.Mode) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.mode = m
--- a/internal/batch/drive/holder_test.go
+++ b/internal/batch/drive/holder_test.go
@@ -9,7 +9,7 @@
 
 	"bramleysail.example/bramleysail/internal/batch/drive"
 	"bramleysail.example/bramleysail/internal/batch/sched"
-	"bramleysail.example/bramleysail/internal/fake/multi"
+	"bramleysail.example/bramleysail/internal/fake/txkv"
 )
 
 // runsFor returns a work function whose tasks all succeed after d.
@@ -94,7 +94,7 @@
 // The store is unavailable while tasks run and end. Nothing is lost: the workers keep the ended runs, submissions
 // are refused soon, and the job completes after the outage.
 func TestStoreOutage(t *testing.T) {
-	for _, mode := range []multi.Mode{multi.ModeBusy, multi.ModeSilent} {
+	for _, mode := range []txkv.Mode{txkv.ModeBusy, txkv.ModeSilent} {
 		t.Run(string(mode), func(t *testing.T) {
 			runCluster(t, runsFor(2*time.Second), func(c *testCluster) {
 				c.submit("a", newStep(5), newStep(5, 0))
@@ -117,8 +117,8 @@
 	runCluster(t, runsFor(2*time.Second), func(c *testCluster) {
 		c.submit("a", newStep(5), newStep(5, 0))
 		former := c.holder()
-		former.setMode(multi.ModeSilent)
-		c.store.Delete("lead/holder")
+		former.setMode(txkv.ModeSilent)
+		c.store.RemoveKey("lead/holder")
 		time.Sleep(4 * time.Second)
 		if current := c.holder(); current == former {
 			t.Error("the host that the store doesn't answer is still the holder")
@@ -232,13 +232,13 @@
 		h.kill()
 		h.start()
 	case 1:
-		h.setMode([]multi.Mode{multi.ModeBusy, multi.ModeSilent}[rng.IntN(2)])
+		h.setMode([]txkv.Mode{txkv.ModeBusy, txkv.ModeSilent}[rng.IntN(2)])
 		if rng.IntN(2) == 0 {
-			c.store.Delete("lead/holder")
+			c.store.RemoveKey("lead/holder")
 		}
 		after(func() { h.setMode("") })
 	case 2:
-		c.store.SetMode(multi.ModeBusy)
+		c.store.SetMode(txkv.ModeBusy)
 		after(func() { c.store.SetMode("") })
 	case 3:
 		c.store.SetLostAnswers(0.3, time.Duration(1+rng.IntN(5))*time.Second)
--- a/internal/batch/drive/staleness_test.go
+++ b/internal/batch/drive/staleness_test.go
@@ -12,7 +12,7 @@
 	"bramleysail.example/bramleysail/internal/base/wait"
 	"bramleysail.example/bramleysail/internal/batch/drive"
 	"bramleysail.example/bramleysail/internal/batch/sched"
-	"bramleysail.example/bramleysail/internal/fake/plain"
+	"bramleysail.example/bramleysail/internal/fake/codec"
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	run := *fault
 	s.mu.Unlock()
-	if run == nil || !strings.HasPrefix(prefix, plain.New().DirectoryPrefix) {
+	if run == nil || !strings.HasPrefix(prefix, codec.New().DirectoryPrefix) {
 		return nil
 	}
 	return run(ctx)
@@ -129,7 +129,7 @@
 				})
 				s.setFaults(tt.fault, tt.fault)
 				time.Sleep(100 * time.Millisecond)
-				c.store.Delete(plain.New().DirectoryPrefix + "w0")
+				c.store.RemoveKey(codec.New().DirectoryPrefix + "w0")
 				mu.Lock()
 				leftAt = time.Now()
 				mu.Unlock()
--- a/internal/batch/drive/takeover_test.go
+++ b/internal/batch/drive/takeover_test.go
@@ -78,7 +78,7 @@
 				c.awaitRunning(12, time.Second)
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 				c.setCutZone(c.holder().zone)
-				c.store.Delete("lead/holder")
+				c.store.RemoveKey("lead/holder")
 				time.Sleep(15 * time.Second)
 				c.setCutZone("")
 				time.Sleep(5 * time.Second)
--- a/internal/ctrl/lead/delay_test.go
+++ b/internal/ctrl/lead/delay_test.go
@@ -12,13 +12,13 @@
 	"github.com/go-logr/logr"
 
 	"bramleysail.example/bramleysail/internal/ctrl/lead"
-	"bramleysail.example/bramleysail/internal/fake/multi"
+	"bramleysail.example/bramleysail/internal/fake/txkv"
 )
 
 // runElection starts one process for each capacity, with a load in the store and the holder's key vacant. It returns the
 // index of the process that claims the key and the time until then, and fails the test if another one claims it later.
 func runElection(t *testing.T, load string, capacities ...int) (int, time.Duration) {
-	s := &multi.Service{}
+	s := &txkv.Service{}
 	if load != "" {
 		s.Put("lead/load", []byte(load))
 	}
@@ -85,7 +85,7 @@
 // must delay its claim as if it had known the load before, and must learn of a new holder at once.
 func TestClaimDelayLoadKnownLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &multi.Service{}
+		s := &txkv.Service{}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		s.Put("lead/holder", []byte(`{"name":"old","term":1}`))
@@ -94,7 +94,7 @@
 		wg.Go(func() { elector.Run(ctx, func(t *lead.Tenure) { <-t.Context().Done() }) })
 		time.Sleep(time.Second)
 		s.Put("lead/load", []byte("350"))
-		s.Delete("lead/holder")
+		s.RemoveKey("lead/holder")
 		time.Sleep(300 * time.Millisecond)
 		if h, _ := elector.Holder(); h.Name != "" {
 			t.Errorf("holder %q during the claim delay, want none", h.Name)
@@ -104,7 +104,7 @@
 		if h, _ := elector.Holder(); h.Name != "strong" {
 			t.Errorf("holder %q, want strong", h.Name)
 		}
-		s.Delete("lead/holder")
+		s.RemoveKey("lead/holder")
 		time.Sleep(1200 * time.Millisecond)
 		if h, _ := elector.Holder(); h.Name != "weak" {
 			t.Errorf("holder %q, want weak", h.Name)
@@ -118,7 +118,7 @@
 // a machine that has become slow wins the race for a lost holder's key and is overloaded.
 func TestClaimDelaySlowedProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &multi.Service{}
+		s := &txkv.Service{}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		s.Put("lead/holder", []byte(`{"name":"old","term":1}`))
@@ -140,7 +140,7 @@
 		}
 		time.Sleep(time.Second)
 		slowed.Store(true)
-		s.Delete("lead/holder")
+		s.RemoveKey("lead/holder")
 		time.Sleep(2 * time.Second)
 		if h, _ := unslowed.Holder(); h.Name != "0" {
 			t.Errorf("holder %q, want 0, the only process that isn't slowed", h.Name)
@@ -155,7 +155,7 @@
 // only then would refuse them for all that time.
 func TestSuspendedClaimsWatchHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &multi.Service{}
+		s := &txkv.Service{}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		elector := lead.New(lead.Options{Store: s.Client(nil), Name: "suspended", LeaseTTL: time.Second, Log: logr.Discard()})
@@ -167,7 +167,7 @@
 		if h, _ := elector.Holder(); h.Name != "next" {
 			t.Errorf("holder %q, want next", h.Name)
 		}
-		s.Delete("lead/holder")
+		s.RemoveKey("lead/holder")
 		time.Sleep(2 * time.Second)
 		if h, _ := elector.Holder(); h.Name != "" {
 			t.Errorf("holder %q while claims are suspended, want none", h.Name)
--- a/internal/ctrl/lead/tenure_test.go
+++ b/internal/ctrl/lead/tenure_test.go
@@ -13,7 +13,7 @@
 
 	"bramleysail.example/bramleysail/internal/base/wait"
 	"bramleysail.example/bramleysail/internal/ctrl/lead"
-	"bramleysail.example/bramleysail/internal/fake/multi"
+	"bramleysail.example/bramleysail/internal/fake/txkv"
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
@@ -40,7 +40,7 @@
 // never be older than the duration of a call plus the interval between two renewals.
 func TestSlowRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		service := &multi.Service{}
+		service := &txkv.Service{}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var wg sync.WaitGroup
@@ -76,7 +76,7 @@
 // workers without need: the next renewal, on a new connection, must be in time.
 func TestSilentRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		service := &multi.Service{}
+		service := &txkv.Service{}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var wg sync.WaitGroup
--- a/internal/fake/plain/plain.go
+++ b/internal/fake/codec/codec.go
@@ -1,4 +1,4 @@
-package plain
+package codec
 
 import (
 	"encoding/json"
--- a/internal/fake/crew/crew.go
+++ b/internal/fake/fleet/fleet.go
@@ -1,4 +1,4 @@
-package crew
+package fleet
 
 import (
 	"context"
--- a/internal/fake/multi/doc.go
+++ b/internal/fake/txkv/doc.go
@@ -1,3 +1,3 @@
 // Package multi is a stand-in for the platform's key-value service: transactions, leases,
 // watches and the ways in which it fails, in memory.
-package multi
+package txkv
--- a/internal/fake/multi/multi.go
+++ b/internal/fake/txkv/txkv.go
@@ -1,4 +1,4 @@
-package multi
+package txkv
 
 import (
 	"context"
@@ -88,8 +88,8 @@
 	s.notify()
 }
 
-// Delete deletes a key without its holder being told.
-func (s *Service) Delete(key string) {
+// RemoveKey deletes a key without its holder being told.
+func (s *Service) RemoveKey(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.entries[key]; ok {
--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -18,9 +18,9 @@
 	"bramleysail.example/bramleysail/internal/batch/drive"
 	"bramleysail.example/bramleysail/internal/batch/sched"
 	"bramleysail.example/bramleysail/internal/batch/wire"
-	fakecrew "bramleysail.example/bramleysail/internal/fake/crew"
-	"bramleysail.example/bramleysail/internal/fake/multi"
-	"bramleysail.example/bramleysail/internal/fake/plain"
+	"bramleysail.example/bramleysail/internal/fake/codec"
+	"bramleysail.example/bramleysail/internal/fake/fleet"
+	"bramleysail.example/bramleysail/internal/fake/txkv"
 	"bramleysail.example/bramleysail/internal/proc/front"
 )
 
@@ -37,8 +37,8 @@
 // store keeps what must last.
 type hostDemo struct {
 	out    io.Writer
-	store  *multi.Service
-	crew   *fakecrew.Fleet
+	store  *txkv.Service
+	crew   *fleet.Fleet
 	all    []*demoHost
 	jobs   []string
 	broken []string
@@ -50,16 +50,16 @@
 	desk *front.Forwarder
 
 	mu   sync.Mutex
-	mode multi.Mode
+	mode txkv.Mode
 }
 
-func (h *demoHost) set(m multi.Mode) {
+func (h *demoHost) set(m txkv.Mode) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.mode = m
 }
 
-func (h *demoHost) get() multi.Mode {
+func (h *demoHost) get() txkv.Mode {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.mode
@@ -69,8 +69,8 @@
 // while the store is away, while it turns the holder away, and while a host is stopped. It
 // shows its progress on out and returns the promises that were broken.
 func RunHosts(ctx context.Context, out io.Writer) (broken []string, err error) {
-	d := &hostDemo{out: out, store: &multi.Service{}}
-	d.crew = fakecrew.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rand.New(rand.NewPCG(1, 1)), func(string) (time.Duration, sched.End) {
+	d := &hostDemo{out: out, store: &txkv.Service{}}
+	d.crew = fleet.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rand.New(rand.NewPCG(1, 1)), func(string) (time.Duration, sched.End) {
 		return hostTask, sched.EndDone
 	})
 	defer func() {
@@ -87,10 +87,10 @@
 
 func (d *hostDemo) start() error {
 	queue := sched.Queue{Name: "books", Host: "demo", Prefix: "/books/", Service: "s", Tries: 3, Stretch: 2, Aim: time.Second}
-	if err := plain.WriteConfig(d.store, sched.Config{Version: 1, Queues: []sched.Queue{queue}}); err != nil {
+	if err := codec.WriteConfig(d.store, sched.Config{Version: 1, Queues: []sched.Queue{queue}}); err != nil {
 		return err
 	}
-	if err := plain.WriteMembers(d.store, d.crew.Members()); err != nil {
+	if err := codec.WriteMembers(d.store, d.crew.Members()); err != nil {
 		return err
 	}
 	for i := range entries {
@@ -103,7 +103,7 @@
 		}
 		var err error
 		h.host, err = front.Start(set, front.Adapters{
-			Store: d.store.Client(h.get), WorkerClient: d.crew.Client(func(sched.Member) bool { return false }), Codec: plain.New(),
+			Store: d.store.Client(h.get), WorkerClient: d.crew.Client(func(sched.Member) bool { return false }), Codec: codec.New(),
 			CallerHandler: func(desk *front.Forwarder) http.Handler {
 				h.desk = desk
 				return http.NotFoundHandler()
@@ -193,7 +193,7 @@
 }
 
 func (d *hostDemo) away(ctx context.Context) error {
-	d.store.SetMode(multi.ModeBusy)
+	d.store.SetMode(txkv.ModeBusy)
 	wait.For(ctx, hostAway)
 	once, end := context.WithTimeout(ctx, hostAsk)
 	defer end()
@@ -207,8 +207,8 @@
 
 func (d *hostDemo) turnAway(ctx context.Context) error {
 	for _, h := range d.all {
-		h.set(multi.ModeSilent)
-		d.store.Delete("lead/holder")
+		h.set(txkv.ModeSilent)
+		d.store.RemoveKey("lead/holder")
 		wait.For(ctx, hostAway)
 		h.set("")
 	}
