--- a/internal/fake/fleet/doc.go
+++ b/internal/fake/fleet/doc.go
@@ -1,4 +1,5 @@
-// Package crew is a stand-in for the users' workers: they run tasks under fences and leases,
-// tell of ends until these are acknowledged, carry some orders out late, crash and are cut
-// off. It keeps an account of every run and of what must not happen.
+// Package fleet is a stand-in for the platform's workers. They run tasks under fencing tokens
+// and leases, report finished runs until these are acknowledged, execute some orders late,
+// crash, and become unreachable. The package counts every run and records violations of
+// the invariants.
 package fleet
--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -15,85 +15,87 @@
 
 // Fleet is a set of workers. Its zero value is empty.
 type Fleet struct {
-	mu      sync.Mutex
-	workers map[string]*worker
+	mu      sync.Mutex         // guards the fields below and the workers' state
+	workers map[string]*worker // by ID
 	// workload returns how long a task runs and how it ends.
 	workload     func(task string) (time.Duration, sched.End)
 	rng          *rand.Rand
-	delayedShare float64 // share of orders that aren't answered and carried out later
-	violations   []string
+	delayedShare float64         // share of orders that get no answer and are executed later
+	violations   []string        // broken invariants, as text
 	ackedTasks   map[string]bool // tasks whose success has been acknowledged
-	starts       map[string]int
-	expiredRuns  int
+	starts       map[string]int  // number of starts by task
+	expiredRuns  int             // runs ended by lease expiry
 }
 
+// worker is one worker in its present incarnation.
 type worker struct {
 	sched.Member
-	clockZero   time.Time
-	fence       int64
-	leaseUntil  time.Duration
-	runs        map[string]*run
-	finished    []sched.FinishedRun
-	lastSeq     int64
-	staleSeq    int64 // ends up to here are from before a lapse: acknowledging them says nothing
-	newestRun   map[string]int64
-	unreachable bool // out of reach, and running on
-	changed     chan struct{}
+	clockZero   time.Time           // when the worker's clock showed 0
+	fence       int64               // highest fencing token received
+	leaseUntil  time.Duration       // lease expiry on the worker's clock
+	runs        map[string]*run     // present runs by task
+	finished    []sched.FinishedRun // not yet acknowledged
+	lastSeq     int64               // sequence number of the last finished run
+	staleSeq    int64               // runs finished up to this number precede a lease expiry: acknowledging them proves no success
+	newestRun   map[string]int64    // highest run number started or stopped, by task
+	unreachable bool                // no call reaches the worker, but its runs continue
+	changed     chan struct{}       // closed at the next change of the worker's state
 }
 
+// run is one run of a task.
 type run struct {
 	task   string
-	number int64
-	end    sched.End
-	timer  *time.Timer
+	number int64       // number of the run among the task's runs
+	end    sched.End   // how it ends unless it is ended earlier
+	timer  *time.Timer // ends the run
 }
 
-// New returns a crew of n workers of a size, whose tasks run as work says.
-func New(n int, size wire.Size, rng *rand.Rand, work func(task string) (time.Duration, sched.End)) *Fleet {
-	c := &Fleet{workers: map[string]*worker{}, workload: work, rng: rng, ackedTasks: map[string]bool{}, starts: map[string]int{}}
+// New returns a fleet of n workers of the given size. workload returns how long a task runs and how it ends.
+func New(n int, size wire.Size, rng *rand.Rand, workload func(task string) (time.Duration, sched.End)) *Fleet {
+	f := &Fleet{workers: map[string]*worker{}, workload: workload, rng: rng, ackedTasks: map[string]bool{}, starts: map[string]int{}}
 	for i := range n {
 		m := sched.Member{
 			Incarnation: sched.Incarnation{ID: fmt.Sprintf("w%d", i), StartedAt: 1}, Service: "s", Addr: fmt.Sprintf("w%d", i),
 			Zone: fmt.Sprintf("z%d", i%3), Rack: fmt.Sprintf("r%d", i/4), Size: size,
 		}
-		c.workers[m.ID] = &worker{Member: m, clockZero: time.Now(), runs: map[string]*run{}, newestRun: map[string]int64{}, changed: make(chan struct{})}
+		f.workers[m.ID] = &worker{Member: m, clockZero: time.Now(), runs: map[string]*run{}, newestRun: map[string]int64{}, changed: make(chan struct{})}
 	}
-	return c
+	return f
 }
 
-// Members returns the workers as the directory shows them.
-func (c *Fleet) Members() []sched.Member {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// Members returns the directory entries of the workers, ordered by ID.
+func (f *Fleet) Members() []sched.Member {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	var all []sched.Member
-	for _, w := range c.workers {
+	for _, w := range f.workers {
 		all = append(all, w.Member)
 	}
 	sort.Slice(all, func(i, k int) bool { return all[i].ID < all[k].ID })
 	return all
 }
 
-// SetDelayedShare has a share of orders go unanswered and be carried out 2 to 12 s later.
-func (c *Fleet) SetDelayedShare(share float64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.delayedShare = share
+// SetDelayedShare sets the share of orders that get no answer and are executed 2 to 12 s later.
+func (f *Fleet) SetDelayedShare(share float64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.delayedShare = share
 }
 
-// SetUnreachable cuts a worker off, or gives it back.
-func (c *Fleet) SetUnreachable(id string, dark bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	w := c.workers[id]
-	w.unreachable = dark
+// SetUnreachable makes a worker unreachable for all calls, or reachable again. Its runs continue.
+func (f *Fleet) SetUnreachable(id string, unreachable bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w := f.workers[id]
+	w.unreachable = unreachable
 	w.notify()
 }
 
-// Crash ends a worker's life and begins its next.
-func (c *Fleet) Crash(id string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	w := c.workers[id]
+// Crash ends a worker's incarnation and its runs, and starts the next incarnation at once.
+func (f *Fleet) Crash(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w := f.workers[id]
 	for _, r := range w.runs {
 		r.timer.Stop()
 	}
@@ -104,57 +106,61 @@
 	w.notify()
 }
 
-// Kill ends a worker for good: nothing runs there any more and nothing is answered.
-func (c *Fleet) Kill(id string) {
-	c.Crash(id)
-	c.SetUnreachable(id, true)
+// Kill crashes a worker for good: it has no runs and answers no call.
+func (f *Fleet) Kill(id string) {
+	f.Crash(id)
+	f.SetUnreachable(id, true)
 }
 
-// Violations returns what must not have happened.
-func (c *Fleet) Violations() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]string(nil), c.violations...)
+// Violations returns the broken invariants: a task with two runs at a time, or one started again after its success
+// was acknowledged.
+func (f *Fleet) Violations() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]string(nil), f.violations...)
 }
 
 // Starts returns how often each task was started.
-func (c *Fleet) Starts() map[string]int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (f *Fleet) Starts() map[string]int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	all := map[string]int{}
-	for t, n := range c.starts {
+	for t, n := range f.starts {
 		all[t] = n
 	}
 	return all
 }
 
+// notify wakes the polls that wait for a change of the worker's state.
 func (w *worker) notify() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// clock is the worker's own, which runs as slow as clocks of workers may.
+// clock returns the time on the worker's own clock, which runs as slowly as workers' clocks may.
 func (w *worker) clock() time.Duration { return time.Since(w.clockZero) * 98 / 100 }
 
-// expireLease ends everything when the lease has run out.
-func (c *Fleet) expireLease(w *worker) {
+// expireLease ends all runs of a worker whose lease has expired.
+func (f *Fleet) expireLease(w *worker) {
 	if len(w.runs) == 0 || w.clock() <= w.leaseUntil {
 		return
 	}
 	for _, r := range w.runs {
-		c.expiredRuns++
-		c.endRun(w, r, sched.EndLeaseExpired)
+		f.expiredRuns++
+		f.endRun(w, r, sched.EndLeaseExpired)
 	}
 }
 
-func (c *Fleet) endRun(w *worker, r *run, how sched.End) {
+// endRun ends a run and reports it as finished.
+func (f *Fleet) endRun(w *worker, r *run, end sched.End) {
 	r.timer.Stop()
 	delete(w.runs, r.task)
 	w.lastSeq++
-	w.finished = append(w.finished, sched.FinishedRun{Seq: w.lastSeq, Task: r.task, Run: r.number, End: how})
+	w.finished = append(w.finished, sched.FinishedRun{Seq: w.lastSeq, Task: r.task, Run: r.number, End: end})
 	w.notify()
 }
 
+// renewLease extends the lease, by MaxLease at most. If it had expired, the runs finished so far become stale.
 func (w *worker) renewLease(until time.Duration) {
 	if w.clock() > w.leaseUntil {
 		w.staleSeq = w.lastSeq
@@ -167,117 +173,121 @@
 	MaxLease = 6 * time.Second
 	// MaxStopTime is the longest time that a worker may take to stop a run.
 	MaxStopTime = 200 * time.Millisecond
-	// messageDelay is a message's way.
+	// messageDelay is the one-way delay of a message.
 	messageDelay = time.Millisecond
 	// callTimeout is how long a caller waits for an answer that doesn't come.
 	callTimeout = 600 * time.Millisecond
 )
 
-// Client is the crew as one host reaches it.
+// Client is one host's client of the workers. It implements drive.WorkerClient.
 type Client struct {
-	fleet       *Fleet
+	fleet *Fleet
+	// unreachable reports whether the host cannot reach a worker.
 	unreachable func(worker sched.Member) bool
 }
 
-// Client returns a host's view; cut tells which workers it doesn't reach.
-func (c *Fleet) Client(cut func(worker sched.Member) bool) *Client {
-	return &Client{c, cut}
+// Client returns a host's client; unreachable reports whether the host cannot reach a worker.
+func (f *Fleet) Client(unreachable func(worker sched.Member) bool) *Client {
+	return &Client{f, unreachable}
 }
 
-func (v *Client) cannotReach(id string) bool {
-	v.fleet.mu.Lock()
-	defer v.fleet.mu.Unlock()
-	w := v.fleet.workers[id]
-	return w == nil || v.unreachable(w.Member)
+// cannotReach reports whether a worker does not exist or cannot be reached by the host.
+func (c *Client) cannotReach(id string) bool {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	w := c.fleet.workers[id]
+	return w == nil || c.unreachable(w.Member)
 }
 
-// Poll implements drive.WorkerClient.
-func (v *Client) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
-	if v.cannotReach(l.ID) {
+// Poll implements drive.WorkerClient. A worker that becomes unreachable during the poll gives no answer either.
+func (c *Client) Poll(ctx context.Context, req sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
+	if c.cannotReach(req.ID) {
 		wait.For(ctx, callTimeout)
 		return sched.Report{}, sched.OutcomeUnknown
 	}
-	rep, out := v.fleet.Poll(ctx, l, fence)
-	if v.cannotReach(l.ID) {
+	rep, out := c.fleet.Poll(ctx, req, fence)
+	if c.cannotReach(req.ID) {
 		wait.For(ctx, callTimeout)
 		return sched.Report{}, sched.OutcomeUnknown
 	}
 	return rep, out
 }
 
-// Order implements drive.WorkerClient.
-func (v *Client) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
-	if v.cannotReach(o.Incarnation.ID) {
+// SendOrder implements drive.WorkerClient.
+func (c *Client) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
+	if c.cannotReach(o.Incarnation.ID) {
 		wait.For(ctx, callTimeout)
 		return sched.OutcomeUnknown
 	}
-	return v.fleet.SendOrder(ctx, o, fence)
+	return c.fleet.SendOrder(ctx, o, fence)
 }
 
-// Poll implements drive.WorkerClient.
-func (c *Fleet) Poll(ctx context.Context, l sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
+// Poll implements drive.WorkerClient for a host that reaches all workers. It renews the lease, drops the finished
+// runs that the poll acknowledges, and waits until there are others or the poll's wait has passed.
+func (f *Fleet) Poll(ctx context.Context, req sched.PollRequest, fence int64) (sched.Report, sched.Outcome) {
 	if !wait.For(ctx, messageDelay) {
 		return sched.Report{}, sched.OutcomeUnknown
 	}
-	end := time.Now().Add(l.Wait)
+	deadline := time.Now().Add(req.Wait)
 	first := true
 	for {
-		c.mu.Lock()
-		w := c.workers[l.ID]
+		f.mu.Lock()
+		w := f.workers[req.ID]
 		if w == nil || w.unreachable {
-			c.mu.Unlock()
+			f.mu.Unlock()
 			wait.For(ctx, callTimeout)
 			return sched.Report{}, sched.OutcomeUnknown
 		}
-		c.expireLease(w)
+		f.expireLease(w)
 		if fence < w.fence {
-			c.mu.Unlock()
+			f.mu.Unlock()
 			return sched.Report{}, sched.OutcomeFenced
 		}
 		w.fence = fence
 		if first {
-			w.renewLease(l.LeaseUntil)
-			c.ackFinished(w, l)
+			w.renewLease(req.LeaseUntil)
+			f.ackFinished(w, req)
 			first = false
 		}
-		if len(w.finished) > 0 || !time.Now().Before(end) {
+		if len(w.finished) > 0 || !time.Now().Before(deadline) {
 			rep := w.report()
-			c.mu.Unlock()
+			f.mu.Unlock()
 			wait.For(ctx, messageDelay)
 			return rep, sched.OutcomeDone
 		}
-		woken := w.changed
-		c.mu.Unlock()
-		t := time.NewTimer(time.Until(end))
+		changed := w.changed
+		f.mu.Unlock()
+		t := time.NewTimer(time.Until(deadline))
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return sched.Report{}, sched.OutcomeUnknown
-		case <-woken:
+		case <-changed:
 		case <-t.C:
 		}
 		t.Stop()
 	}
 }
 
-// ackFinished takes note of the ends that a poll acknowledges.
-func (c *Fleet) ackFinished(w *worker, l sched.PollRequest) {
-	if l.StartedAt != 0 && l.StartedAt != w.StartedAt {
+// ackFinished drops the finished runs that a poll acknowledges and records which tasks have succeeded.
+func (f *Fleet) ackFinished(w *worker, req sched.PollRequest) {
+	if req.StartedAt != 0 && req.StartedAt != w.StartedAt {
 		return
 	}
-	var rest []sched.FinishedRun
-	for _, f := range w.finished {
-		if f.Seq > l.AckedSeq {
-			rest = append(rest, f)
+	var unacked []sched.FinishedRun
+	for _, fin := range w.finished {
+		if fin.Seq > req.AckedSeq {
+			unacked = append(unacked, fin)
 			continue
 		}
-		if f.End == sched.EndDone && f.Seq > w.staleSeq {
-			c.ackedTasks[f.Task] = true
+		if fin.End == sched.EndDone && fin.Seq > w.staleSeq {
+			f.ackedTasks[fin.Task] = true
 		}
 	}
-	w.finished = rest
+	w.finished = unacked
 }
 
+// report returns the worker's runs and its unacknowledged finished runs.
 func (w *worker) report() sched.Report {
 	rep := sched.Report{StartedAt: w.StartedAt, Clock: w.clock(), Finished: append([]sched.FinishedRun(nil), w.finished...)}
 	for _, r := range w.runs {
@@ -286,40 +296,43 @@
 	return rep
 }
 
-// SendOrder implements drive.WorkerClient.
-func (c *Fleet) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
+// SendOrder implements drive.WorkerClient for a host that reaches all workers. A delayed order is dropped if the
+// worker's incarnation has ended by then.
+func (f *Fleet) SendOrder(ctx context.Context, o sched.Order, fence int64) sched.Outcome {
 	if !wait.For(ctx, messageDelay) {
 		return sched.OutcomeUnknown
 	}
-	c.mu.Lock()
-	w := c.workers[o.Incarnation.ID]
+	f.mu.Lock()
+	w := f.workers[o.Incarnation.ID]
 	if w == nil || w.unreachable {
-		c.mu.Unlock()
+		f.mu.Unlock()
 		wait.For(ctx, callTimeout)
 		return sched.OutcomeUnknown
 	}
-	if c.rng.Float64() < c.delayedShare {
-		after := 2*time.Second + time.Duration(c.rng.Int64N(int64(10*time.Second)))
-		born := w.StartedAt
-		time.AfterFunc(after, func() {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if w.StartedAt == born {
-				c.executeOrder(w, o, fence)
+	if f.rng.Float64() < f.delayedShare {
+		delay := 2*time.Second + time.Duration(f.rng.Int64N(int64(10*time.Second)))
+		startedAt := w.StartedAt
+		time.AfterFunc(delay, func() {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			if w.StartedAt == startedAt {
+				f.executeOrder(w, o, fence)
 			}
 		})
-		c.mu.Unlock()
+		f.mu.Unlock()
 		wait.For(ctx, callTimeout)
 		return sched.OutcomeUnknown
 	}
-	out := c.executeOrder(w, o, fence)
-	c.mu.Unlock()
+	out := f.executeOrder(w, o, fence)
+	f.mu.Unlock()
 	wait.For(ctx, messageDelay)
 	return out
 }
 
-func (c *Fleet) executeOrder(w *worker, o sched.Order, fence int64) sched.Outcome {
-	c.expireLease(w)
+// executeOrder executes an order unless a higher fencing token is known. A start is executed only if its run is
+// newer than all known ones, the task has no run here and the order's lease has not expired.
+func (f *Fleet) executeOrder(w *worker, o sched.Order, fence int64) sched.Outcome {
+	f.expireLease(w)
 	if fence < w.fence {
 		return sched.OutcomeFenced
 	}
@@ -330,7 +343,7 @@
 	case sched.VerbStop:
 		w.newestRun[name] = max(w.newestRun[name], o.Run)
 		if r != nil && r.number <= o.Run {
-			c.endRun(w, r, sched.EndStopped)
+			f.endRun(w, r, sched.EndStopped)
 		}
 		return sched.OutcomeDone
 	case sched.VerbThrottle:
@@ -347,66 +360,67 @@
 	}
 	w.renewLease(o.LeaseUntil)
 	w.newestRun[name] = o.Run
-	c.startRun(w, name, o.Run)
+	f.startRun(w, name, o.Run)
 	return sched.OutcomeDone
 }
 
-func (c *Fleet) startRun(w *worker, name string, number int64) {
-	c.checkStart(w, name, number)
-	c.starts[name]++
-	d, how := c.workload(name)
-	r := &run{task: name, number: number, end: how}
+// startRun starts a run that ends as the workload says, or with the lease if that expires first.
+func (f *Fleet) startRun(w *worker, name string, number int64) {
+	f.checkStart(w, name, number)
+	f.starts[name]++
+	d, end := f.workload(name)
+	r := &run{task: name, number: number, end: end}
 	r.timer = time.AfterFunc(d, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
+		f.mu.Lock()
+		defer f.mu.Unlock()
 		if w.runs[name] == r {
-			c.expireLease(w)
+			f.expireLease(w)
 		}
 		if w.runs[name] == r {
-			c.endRun(w, r, how)
+			f.endRun(w, r, end)
 		}
 	})
 	w.runs[name] = r
 	w.notify()
 }
 
-// checkStart notes a start that must not be.
-func (c *Fleet) checkStart(w *worker, name string, number int64) {
-	if c.ackedTasks[name] {
-		c.violations = append(c.violations, fmt.Sprintf("%s run %d on %s: its success was acknowledged before", name, number, w.ID))
+// checkStart records a violation if the task's success has been acknowledged or the task runs on any worker.
+func (f *Fleet) checkStart(w *worker, name string, number int64) {
+	if f.ackedTasks[name] {
+		f.violations = append(f.violations, fmt.Sprintf("%s run %d on %s: its success was acknowledged before", name, number, w.ID))
 	}
-	for _, o := range c.workers {
-		c.expireLease(o)
+	for _, o := range f.workers {
+		f.expireLease(o)
 		if r := o.runs[name]; r != nil {
-			c.violations = append(c.violations, fmt.Sprintf("%s runs twice: %d on %s and %d on %s", name, r.number, o.ID, number, w.ID))
+			f.violations = append(f.violations, fmt.Sprintf("%s runs twice: %d on %s and %d on %s", name, r.number, o.ID, number, w.ID))
 		}
 	}
 }
 
-// RunningCount returns how many tasks run.
-func (c *Fleet) RunningCount() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// RunningCount returns the number of runs on all workers.
+func (f *Fleet) RunningCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	n := 0
-	for _, w := range c.workers {
+	for _, w := range f.workers {
 		n += len(w.runs)
 	}
 	return n
 }
 
-// ExpiredRuns returns how many runs have ended with a worker's lease.
-func (c *Fleet) ExpiredRuns() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, w := range c.workers {
-		c.expireLease(w)
+// ExpiredRuns returns the number of runs ended by lease expiry.
+func (f *Fleet) ExpiredRuns() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, w := range f.workers {
+		f.expireLease(w)
 	}
-	return c.expiredRuns
+	return f.expiredRuns
 }
 
 // SetWorkload changes how long tasks run and how they end, from the next start on.
-func (c *Fleet) SetWorkload(work func(task string) (time.Duration, sched.End)) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.workload = work
+func (f *Fleet) SetWorkload(workload func(task string) (time.Duration, sched.End)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.workload = workload
 }
