--- a/internal/fake/txkv/doc.go
+++ b/internal/fake/txkv/doc.go
@@ -1,3 +1,3 @@
-// Package multi is a stand-in for the platform's key-value service: transactions, leases,
-// watches and the ways in which it fails, in memory.
+// Package txkv is an in-memory stand-in for the platform's key-value service, with
+// transactions, leases and watches. Calls can be refused, delayed or left unanswered.
 package txkv
--- a/internal/fake/txkv/txkv.go
+++ b/internal/fake/txkv/txkv.go
@@ -18,68 +18,69 @@
 // Mode is how the service treats a caller.
 type Mode string
 
-// The modes; the zero value serves.
+// The modes. In the mode of the zero value, calls are served.
 const (
-	ModeBusy   Mode = "busy"   // refuses, so that nothing is done
-	ModeSilent Mode = "silent" // doesn't answer, and does nothing
+	ModeBusy   Mode = "busy"   // refuses calls without carrying them out
+	ModeSilent Mode = "silent" // neither answers calls nor carries them out
 )
 
-// Service holds the keys; its zero value is ready.
+// Service is the key-value service. Its zero value has no keys and is ready to use.
 type Service struct {
-	mu           sync.Mutex
-	rev          uint64
-	entries      map[string]store.Entry
-	history      []store.Change
-	compactedRev uint64 // history up to here is gone
-	leases       map[string]*lease
+	mu           sync.Mutex             // guards the fields below
+	rev          uint64                 // revision of the last write
+	entries      map[string]store.Entry // by key
+	history      []store.Change         // in order of revision
+	compactedRev uint64                 // the history up to this revision has been dropped
+	leases       map[string]*lease      // by ID
 	lastLeaseID  int
-	changed      chan struct{}
-	mode         Mode
-	lossShare    float64       // share of writes that are done and not answered
-	lateDelay    time.Duration // after which some unanswered writes are done instead
-	callDelay    time.Duration
-	calls        int
+	changed      chan struct{} // closed at the next change of the keys or the history; may be nil
+	mode         Mode          // for all clients; if zero, the client's own mode applies
+	lossShare    float64       // share of transactions whose answer is lost
+	lateDelay    time.Duration // if above 0, half of these are carried out only after this time
+	callDelay    time.Duration // added to callTime
+	calls        int           // number of calls so far, refused and unanswered ones included
 }
 
+// lease is an open lease.
 type lease struct {
-	ttl       time.Duration
+	ttl       time.Duration // from a renewal to the expiry
 	expiresAt time.Time
 }
 
-// Client is one host's way to the service.
+// Client is one host's client of the service. It implements store.TxnStore.
 type Client struct {
 	service *Service
-	mode    func() Mode
+	mode    func() Mode // asked at each call; nil means that calls are served
 }
 
-// Client returns a way to the service whose mode is asked at each call; nil serves.
+// Client returns a client of the service. mode is asked at each call; nil means that calls are served.
 func (s *Service) Client(mode func() Mode) *Client {
 	return &Client{s, mode}
 }
 
-// SetMode treats all callers alike.
+// SetMode sets the mode for all clients. A mode other than zero takes precedence over those of the clients.
 func (s *Service) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
 }
 
-// SetCallDelay has each call take d.
+// SetCallDelay makes each served call take longer by d.
 func (s *Service) SetCallDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.callDelay = d
 }
 
-// SetLostAnswers has a share of writes go unanswered; with late above 0, half of these are done only
-// after that time, if their condition still holds.
+// SetLostAnswers sets the share of transactions whose answer is lost. They are carried out at once; if late is
+// above 0, half of them are carried out only after that time, if their conditions hold then.
 func (s *Service) SetLostAnswers(share float64, late time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lossShare, s.lateDelay = share, late
 }
 
-// Compact drops the history, so that watches from before fail.
+// Compact drops the history, so that watches from an earlier revision fail.
 func (s *Service) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +89,7 @@
 	s.notify()
 }
 
-// RemoveKey deletes a key without its holder being told.
+// RemoveKey deletes a key without notice to the client that wrote it.
 func (s *Service) RemoveKey(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,20 +98,21 @@
 	}
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls so far, refused and unanswered ones included.
 func (s *Service) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes a key as an operator or a worker does.
+// Put writes a key on behalf of an operator or a worker. The mode and the delays do not apply.
 func (s *Service) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apply([]store.Write{{Key: key, Value: value}})
 }
 
+// notify wakes the watches that wait for a change.
 func (s *Service) notify() {
 	if s.changed != nil {
 		close(s.changed)
@@ -118,13 +120,13 @@
 	s.changed = make(chan struct{})
 }
 
-// apply writes under the lock.
-func (s *Service) apply(do []store.Write) {
+// apply carries out writes as one revision and adds them to the history. The caller holds the lock.
+func (s *Service) apply(writes []store.Write) {
 	if s.entries == nil {
 		s.entries = map[string]store.Entry{}
 	}
 	s.rev++
-	for _, w := range do {
+	for _, w := range writes {
 		if w.Delete {
 			if _, ok := s.entries[w.Key]; ok {
 				delete(s.entries, w.Key)
@@ -139,7 +141,7 @@
 	s.notify()
 }
 
-// expireLeases drops the keys of leases that have run out.
+// expireLeases ends the leases that have expired.
 func (s *Service) expireLeases() {
 	for id, l := range s.leases {
 		if time.Now().After(l.expiresAt) {
@@ -148,20 +150,21 @@
 	}
 }
 
+// endLease ends a lease and deletes its keys.
 func (s *Service) endLease(id string) {
 	delete(s.leases, id)
-	var do []store.Write
+	var writes []store.Write
 	for k, e := range s.entries {
 		if e.Lease == id {
-			do = append(do, store.Write{Key: k, Delete: true})
+			writes = append(writes, store.Write{Key: k, Delete: true})
 		}
 	}
-	if len(do) > 0 {
-		s.apply(do)
+	if len(writes) > 0 {
+		s.apply(writes)
 	}
 }
 
-// beginCall begins a call and leaves the lock held if it is served.
+// beginCall counts a call and waits for its duration. If the call is served, it returns nil with the lock held.
 func (c *Client) beginCall(ctx context.Context) error {
 	s := c.service
 	s.mu.Lock()
@@ -188,15 +191,15 @@
 }
 
 const (
-	// callTime is the time of a call.
+	// callTime is the duration of a served call without callDelay.
 	callTime = 4 * time.Millisecond
 	// callTimeout is how long a caller waits for an answer that doesn't come.
 	callTimeout = time.Second
-	// expiryInterval is how often a watch looks for leases that have run out.
+	// expiryInterval is how often a waiting watch ends the leases that have expired.
 	expiryInterval = 50 * time.Millisecond
 )
 
-// Get implements store.Multi.
+// Get implements store.TxnStore.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return store.Entry{}, err
@@ -209,29 +212,29 @@
 	return e, nil
 }
 
-// Range implements store.Multi.
+// Range implements store.TxnStore.
 func (c *Client) Range(ctx context.Context, prefix string) (store.Listing, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return store.Listing{}, err
 	}
 	defer c.service.mu.Unlock()
-	p := store.Listing{Rev: c.service.rev}
+	listing := store.Listing{Rev: c.service.rev}
 	for k, e := range c.service.entries {
 		if strings.HasPrefix(k, prefix) {
-			p.Entries = append(p.Entries, e)
+			listing.Entries = append(listing.Entries, e)
 		}
 	}
-	sort.Slice(p.Entries, func(i, k int) bool { return p.Entries[i].Key < p.Entries[k].Key })
-	return p, nil
+	sort.Slice(listing.Entries, func(i, k int) bool { return listing.Entries[i].Key < listing.Entries[k].Key })
+	return listing, nil
 }
 
-// Watch implements store.Multi. One that waits as the service falls silent hangs to its end: a
-// silent service cuts nothing off.
+// Watch implements store.TxnStore. A watch that is waiting when the service becomes silent returns
+// only when its limit has passed, because a silent service closes no connection.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
-	end := time.Now().Add(limit)
+	deadline := time.Now().Add(limit)
 	for {
 		if err := c.beginCall(ctx); errors.Is(err, store.ErrOutcomeUnknown) {
-			wait.For(ctx, time.Until(end))
+			wait.For(ctx, time.Until(deadline))
 			return nil, after, err
 		} else if err != nil {
 			return nil, after, err
@@ -240,10 +243,10 @@
 			c.service.mu.Unlock()
 			return nil, after, store.ErrCompacted
 		}
-		var got []store.Change
+		var changes []store.Change
 		for _, h := range c.service.history {
 			if h.Rev > after && strings.HasPrefix(h.Key, prefix) {
-				got = append(got, h)
+				changes = append(changes, h)
 			}
 		}
 		rev := c.service.rev
@@ -252,8 +255,8 @@
 		}
 		changed := c.service.changed
 		c.service.mu.Unlock()
-		if len(got) > 0 || time.Now().After(end) {
-			return got, rev, nil
+		if len(changes) > 0 || time.Now().After(deadline) {
+			return changes, rev, nil
 		}
 		t := time.NewTimer(expiryInterval)
 		select {
@@ -267,8 +270,8 @@
 	}
 }
 
-// Commit implements store.Multi.
-func (c *Client) Commit(ctx context.Context, t store.Txn) (uint64, error) {
+// Commit implements store.TxnStore.
+func (c *Client) Commit(ctx context.Context, txn store.Txn) (uint64, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return 0, err
 	}
@@ -279,32 +282,33 @@
 			time.AfterFunc(s.lateDelay, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				_, _ = s.commit(t) // nobody waits for it any more
+				_, _ = s.commit(txn) // the caller no longer waits for the result
 			})
 		} else {
-			_, _ = s.commit(t) // its answer is lost
+			_, _ = s.commit(txn) // the answer is lost
 		}
 		return 0, store.ErrOutcomeUnknown
 	}
-	return s.commit(t)
+	return s.commit(txn)
 }
 
-func (s *Service) commit(t store.Txn) (uint64, error) {
-	for _, w := range t.Writes {
+// commit carries out a transaction if its leases exist and its conditions hold. The caller holds the lock.
+func (s *Service) commit(txn store.Txn) (uint64, error) {
+	for _, w := range txn.Writes {
 		if w.Lease != "" && s.leases[w.Lease] == nil {
 			return 0, store.ErrLeaseNotFound
 		}
 	}
-	for _, c := range t.Conditions {
+	for _, c := range txn.Conditions {
 		if s.entries[c.Key].Rev != c.Rev {
 			return 0, store.ErrConflict
 		}
 	}
-	s.apply(t.Writes)
+	s.apply(txn.Writes)
 	return s.rev, nil
 }
 
-// OpenLease implements store.Multi.
+// OpenLease implements store.TxnStore.
 func (c *Client) OpenLease(ctx context.Context, ttl time.Duration) (string, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return "", err
@@ -319,7 +323,7 @@
 	return id, nil
 }
 
-// RenewLease implements store.Multi.
+// RenewLease implements store.TxnStore.
 func (c *Client) RenewLease(ctx context.Context, id string) error {
 	if err := c.beginCall(ctx); err != nil {
 		return err
@@ -333,7 +337,7 @@
 	return nil
 }
 
-// CloseLease implements store.Multi.
+// CloseLease implements store.TxnStore.
 func (c *Client) CloseLease(ctx context.Context, id string) error {
 	if err := c.beginCall(ctx); err != nil {
 		return err
