--- a/internal/fake/codec/doc.go
+++ b/internal/fake/codec/doc.go
@@ -1,3 +1,3 @@
-// Package plain is a stand-in for a platform's names and formats: what operators and workers
-// write in the store is the product's own types as JSON.
+// Package codec is a stand-in for a platform's keys and formats: the configuration and the
+// directory of workers are stored as JSON of the product's own types.
 package codec
--- a/internal/fake/event/doc.go
+++ b/internal/fake/event/doc.go
@@ -1,3 +1,3 @@
-// Package event is a queue of events in virtual time, for tests and measurements of
-// cores that have no clock of their own.
+// Package event provides a queue of events in virtual time, for tests and measurements of
+// code that has no clock of its own.
 package event
--- a/internal/fake/event/event.go
+++ b/internal/fake/event/event.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Queue runs events in order of time, and of arrival where the times are equal; the
-// zero value begins at the zero time.
+// Queue runs events in order of time, and events of the same time in the order in which they
+// were scheduled. The zero value starts at the zero time.
 type Queue struct {
-	now    time.Time
-	events eventHeap
-	seq    int
+	now    time.Time // the virtual time
+	events eventHeap // pending events
+	seq    int       // number of events scheduled so far
 }
 
-// New returns a queue that begins at the time.
+// New returns a queue whose virtual time starts at now.
 func New(now time.Time) Queue {
 	return Queue{now: now}
 }
@@ -21,16 +21,16 @@
 // Now returns the virtual time.
 func (q *Queue) Now() time.Time { return q.now }
 
-// Seq returns a number that grows with each event.
+// Seq returns the number of events scheduled so far.
 func (q *Queue) Seq() int { return q.seq }
 
-// AfterFunc lets do happen after d.
-func (q *Queue) AfterFunc(d time.Duration, do func()) {
+// AfterFunc schedules f to run when d of virtual time has passed.
+func (q *Queue) AfterFunc(d time.Duration, f func()) {
 	q.seq++
-	heap.Push(&q.events, event{q.now.Add(d), q.seq, do})
+	heap.Push(&q.events, event{q.now.Add(d), q.seq, f})
 }
 
-// RunNext lets the next event happen unless it is later than until, and reports whether it did.
+// RunNext runs the next event unless it is later than until, and reports whether it ran one.
 func (q *Queue) RunNext(until time.Time) bool {
 	if len(q.events) == 0 || q.events[0].at.After(until) {
 		return false
@@ -41,19 +41,21 @@
 	return true
 }
 
-// RunUntil lets everything up to a time happen.
+// RunUntil runs all events up to a time and sets the virtual time to it.
 func (q *Queue) RunUntil(until time.Time) {
 	for q.RunNext(until) {
 	}
 	q.now = until
 }
 
+// event is a scheduled function.
 type event struct {
 	at  time.Time
-	seq int
+	seq int // number of the event, which orders events of the same time
 	run func()
 }
 
+// eventHeap implements heap.Interface, ordered by time and number.
 type eventHeap []event
 
 func (l eventHeap) Len() int { return len(l) }
--- a/internal/fake/hosts/doc.go
+++ b/internal/fake/hosts/doc.go
@@ -1,2 +1,2 @@
-// Package hosts is a stand-in for the platform's lagging host list.
+// Package hosts is a stand-in for the platform's host list, which lags behind the hosts' real state.
 package hosts
--- a/internal/fake/hosts/hosts.go
+++ b/internal/fake/hosts/hosts.go
@@ -9,13 +9,13 @@
 	"bramleysail.example/bramleysail/internal/plat/hosts"
 )
 
-// List is the stand-in; its zero value is an empty list ready to serve HTTP.
+// List is an in-memory host list. Its zero value is empty and ready to serve HTTP.
 type List struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards byAddr
 	byAddr map[string]hosts.Host
 }
 
-// Set adds the host or changes its row.
+// Set adds a host, or replaces the one with the same address.
 func (l *List) Set(h hosts.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,7 +25,7 @@
 	l.byAddr[h.Addr] = h
 }
 
-// ServeHTTP answers GET with the list and takes a changed row by PUT.
+// ServeHTTP answers PUT by adding or replacing one host, and other requests with all hosts as JSON, ordered by address.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		var h hosts.Host
@@ -37,11 +37,11 @@
 		return
 	}
 	l.mu.Lock()
-	rows := make([]hosts.Host, 0, len(l.byAddr))
+	all := make([]hosts.Host, 0, len(l.byAddr))
 	for _, h := range l.byAddr {
-		rows = append(rows, h)
+		all = append(all, h)
 	}
 	l.mu.Unlock()
-	sort.Slice(rows, func(i, j int) bool { return rows[i].Addr < rows[j].Addr })
-	_ = json.NewEncoder(w).Encode(rows)
+	sort.Slice(all, func(i, j int) bool { return all[i].Addr < all[j].Addr })
+	_ = json.NewEncoder(w).Encode(all)
 }
