--- a/internal/plat/store/http.go
+++ b/internal/plat/store/http.go
@@ -15,15 +15,15 @@
 	"github.com/pkg/errors"
 )
 
-// HTTP is a Store that speaks the platform's HTTP interface: blocking reads by
+// HTTP is a Store that uses the platform's HTTP interface: blocking reads by
 // index, conditional writes by revision, and sessions with a time to live.
 type HTTP struct {
-	baseURL string
+	baseURL string // URL of the service, without a trailing slash
 	client  *http.Client
 }
 
-// NewHTTP returns a client of the service at base (such as http://10.0.0.1:8500);
-// timeout bounds each call, not counting the wait of a watch.
+// NewHTTP returns a client of the service at base (such as http://10.0.0.1:8500).
+// The timeout bounds each call; a watch may take its wait time on top.
 func NewHTTP(base string, timeout time.Duration) *HTTP {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.ResponseHeaderTimeout = 0
@@ -32,24 +32,26 @@
 }
 
 const (
-	maxIdleConns    = 8
-	indexHeader     = "X-Consul-Index"
-	maxResponseSize = 64 << 20
+	maxIdleConns    = 8                // idle connections kept to the service
+	indexHeader     = "X-Consul-Index" // response header with the service's revision
+	maxResponseSize = 64 << 20         // largest response body in bytes that is read
 )
 
-// timeoutTransport bounds every exchange in time, adding the wait that a watch asks for.
+// timeoutTransport limits the time of each exchange, including the reading of the response
+// body. A watch has its wait time added to the limit.
 type timeoutTransport struct {
-	timeout time.Duration
+	timeout time.Duration // limit without the wait time of a watch
 	next    http.RoundTripper
 }
 
-func (d *timeoutTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	limit := d.timeout
+// RoundTrip implements http.RoundTripper.
+func (t *timeoutTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	limit := t.timeout
 	if w, err := time.ParseDuration(r.URL.Query().Get("wait")); err == nil {
 		limit += w
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), limit)
-	resp, err := d.next.RoundTrip(r.WithContext(ctx))
+	resp, err := t.next.RoundTrip(r.WithContext(ctx))
 	if err != nil {
 		cancel()
 		return nil, err
@@ -58,11 +60,13 @@
 	return resp, nil
 }
 
+// cancelBody is a response body that releases the context of its exchange when closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
+// Close closes the body and cancels the context.
 func (b *cancelBody) Close() error {
 	defer b.cancel()
 	return b.ReadCloser.Close()
@@ -70,14 +74,14 @@
 
 // Get implements Store.
 func (h *HTTP) Get(ctx context.Context, key string) (Entry, error) {
-	p, err := h.getEntries(ctx, key, url.Values{})
+	listing, err := h.getEntries(ctx, key, url.Values{})
 	if err != nil {
 		return Entry{}, err
 	}
-	if len(p.Entries) == 0 {
+	if len(listing.Entries) == 0 {
 		return Entry{}, ErrNotFound
 	}
-	return p.Entries[0], nil
+	return listing.Entries[0], nil
 }
 
 // List implements Store.
@@ -90,6 +94,7 @@
 	return h.getEntries(ctx, prefix, q)
 }
 
+// getEntries reads a key, or every key below it if q says so. Absent keys give an empty listing.
 func (h *HTTP) getEntries(ctx context.Context, key string, q url.Values) (Listing, error) {
 	resp, body, err := h.call(ctx, http.MethodGet, "/v1/kv/"+key, q, nil)
 	if err != nil {
@@ -99,9 +104,9 @@
 	if err != nil {
 		return Listing{}, errors.Wrap(ErrOutcomeUnknown, "answer without index")
 	}
-	page := Listing{Rev: rev}
+	listing := Listing{Rev: rev}
 	if resp.StatusCode == http.StatusNotFound {
-		return page, nil
+		return listing, nil
 	}
 	var rows []struct {
 		Key         string
@@ -113,9 +118,9 @@
 		return Listing{}, errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	for _, r := range rows {
-		page.Entries = append(page.Entries, Entry{r.Key, r.Value, r.ModifyIndex, r.Session})
+		listing.Entries = append(listing.Entries, Entry{r.Key, r.Value, r.ModifyIndex, r.Session})
 	}
-	return page, nil
+	return listing, nil
 }
 
 // Swap implements Store.
@@ -138,6 +143,7 @@
 	return h.callConditional(ctx, http.MethodPut, key, url.Values{"acquire": {lease}}, value)
 }
 
+// callConditional makes a write that the service answers by true (done) or false (condition failed).
 func (h *HTTP) callConditional(ctx context.Context, method, key string, q url.Values, value []byte) error {
 	_, body, err := h.call(ctx, method, "/v1/kv/"+key, q, value)
 	if err != nil {
@@ -176,6 +182,7 @@
 	return h.callSession(ctx, "destroy", lease)
 }
 
+// callSession renews or destroys (by verb) the session that stands for a lease.
 func (h *HTTP) callSession(ctx context.Context, verb, lease string) error {
 	resp, _, err := h.call(ctx, http.MethodPut, "/v1/session/"+verb+"/"+lease, nil, nil)
 	if err != nil {
@@ -187,6 +194,8 @@
 	return nil
 }
 
+// call makes one HTTP call and returns the response with its whole body. A status other than
+// 200 and 404 is an unknown outcome.
 func (h *HTTP) call(ctx context.Context, method, path string, q url.Values, body []byte) (*http.Response, []byte, error) {
 	u := h.baseURL + path
 	if len(q) > 0 {
--- a/internal/plat/store/store_test.go
+++ b/internal/plat/store/store_test.go
@@ -17,14 +17,15 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// op is one operation on a register: a read, or a swap that expects a value.
+// op is the input or the output of one operation on a register: a read, or a compare-and-swap.
 type op struct {
-	swap      bool
-	from, to  string
-	succeeded bool
-	read      string
+	swap      bool   // input: a compare-and-swap, not a read
+	from, to  string // input of a swap: the expected and the new value
+	succeeded bool   // output of a swap
+	read      string // output of a read: the value
 }
 
+// register is the sequential model of one register with reads and compare-and-swaps.
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
@@ -35,15 +36,15 @@
 		case o.succeeded:
 			return i.from == state, i.to
 		}
-		// A swap that is told to have lost changed nothing, whatever the state was.
+		// A swap that reports a conflict has changed nothing; the state isn't the value it expected.
 		return i.from != state, state
 	},
 }
 
-// Several writers race on one key while answers are lost after the write took effect.
-// What a user would see of a fault: two operators both told that they won, or one told
-// that it lost while its change is in force. The cause would be a lost answer that is
-// settled wrongly. The history must be that of one register.
+// Several writers race on one key while answers are lost after the write took effect. The
+// test guards against lost answers that are resolved wrongly: two operators are both told
+// that their change succeeded, or one is told that its change failed while it is in force.
+// The history of all operations must be linearizable as that of one register.
 func TestSwapWithRetry(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	fake := &fakestore.Store{}
@@ -84,12 +85,12 @@
 	}
 	wg.Wait()
 	if !porcupine.CheckOperations(register, history) {
-		t.Error("the history isn't that of one register")
+		t.Error("the history is not linearizable as that of one register")
 	}
 }
 
-// The service is away, and comes back: calls must say that their outcome is unknown,
-// and a lease that its holder couldn't renew meanwhile must not be lost by that alone.
+// The service is unreachable for a while. Calls in that time must return an unknown outcome, and
+// a lease that couldn't be renewed meanwhile must not be lost for that reason alone.
 func TestOutage(t *testing.T) {
 	fake := &fakestore.Store{}
 	srv := httptest.NewServer(fake.Handler())
@@ -105,19 +106,19 @@
 	}
 	fake.SetDown(true)
 	if err := s.Swap(ctx, "k", []byte("v"), 0); !errors.Is(err, store.ErrOutcomeUnknown) {
-		t.Errorf("a write while the service is away: %v", err)
+		t.Errorf("swap while the service is unreachable: %v, want ErrOutcomeUnknown", err)
 	}
 	fake.SetDown(false)
 	if err := s.RenewLease(ctx, lease); err != nil {
-		t.Errorf("the lease after the outage: %v", err)
+		t.Errorf("renewing the lease after the outage: %v", err)
 	}
 	if err := s.CloseLease(ctx, lease); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Get(ctx, "m/a"); !errors.Is(err, store.ErrNotFound) {
-		t.Errorf("a key whose lease is closed: %v", err)
+		t.Errorf("reading a key whose lease is closed: %v, want ErrNotFound", err)
 	}
 	if err := s.RenewLease(ctx, lease); !errors.Is(err, store.ErrLeaseNotFound) {
-		t.Errorf("a closed lease: %v", err)
+		t.Errorf("renewing a closed lease: %v, want ErrLeaseNotFound", err)
 	}
 }
--- a/internal/plat/store/txn.go
+++ b/internal/plat/store/txn.go
@@ -8,59 +8,62 @@
 )
 
 var (
-	// ErrRefused says that the service refused the call, so nothing was done.
+	// ErrRefused is returned when the service refused the call; nothing was changed.
 	ErrRefused = errors.New("store: refused")
-	// ErrCompacted says that the history after the given revision is no longer there.
+	// ErrCompacted is returned when the service no longer has the changes after the given revision.
 	ErrCompacted = errors.New("store: history gone")
 )
 
 // MaxTxnOps is the largest number of conditions and writes in one transaction.
 const MaxTxnOps = 32
 
-// Condition demands that a key was last written at Rev, where 0 means absent.
+// Condition requires that a key's revision is Rev.
 type Condition struct {
 	Key string
-	Rev uint64
+	Rev uint64 // 0: the key is absent
 }
 
-// Write sets a key, or deletes it; a Lease, if given, takes the key along when it ends.
+// Write sets or deletes a key.
 type Write struct {
 	Key    string
 	Value  []byte
-	Lease  string
-	Delete bool
+	Lease  string // lease that the key is deleted with; empty: none
+	Delete bool   // deletes the key instead of setting it
 }
 
-// Txn is a set of writes that take effect together if every condition holds.
+// Txn is a transaction: its writes take effect together, and only if all conditions hold.
 type Txn struct {
 	Conditions []Condition
 	Writes     []Write
 }
 
-// Change is a key as it was written, or its deletion.
+// Change is one write or deletion of a key.
 type Change struct {
 	Entry
 	Deleted bool
 }
 
-// TxnStore is a key-value service with transactions, leases and a history to watch;
-// every method counts as one call there (Range as one a page) and is safe for concurrent use.
+// TxnStore is a client of a key-value service with transactions, leases and a history of changes
+// to watch. Each method makes one call to the service, except Range, which makes one for each
+// page. All methods are safe for concurrent use.
 type TxnStore interface {
-	// Get reads one key; ErrNotFound when it is absent.
+	// Get reads one key. It returns ErrNotFound if the key is absent.
 	Get(ctx context.Context, key string) (Entry, error)
-	// Range reads every key that begins with prefix. Its pages are no snapshot: Rev is
-	// the service's revision at the first of them, the place to watch from.
+	// Range reads every key that begins with prefix. It reads page by page, so the result is not a
+	// snapshot: Rev is the service's revision at the first page, from which a watch has to start.
 	Range(ctx context.Context, prefix string) (Listing, error)
-	// Watch waits up to wait for changes after a revision and returns them with the
-	// revision to go on from; ErrCompacted when they are no longer known.
+	// Watch waits up to wait for changes after a revision and returns them with the revision from
+	// which to continue. It returns ErrCompacted if the service no longer has these changes.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Change, uint64, error)
-	// Commit carries out a transaction and returns its revision; ErrConflict when a
-	// condition fails, ErrLapsed when a lease is gone, ErrUnknown when no answer came.
+	// Commit executes a transaction and returns its revision. It returns ErrConflict if a condition
+	// fails, ErrLeaseNotFound if a lease has expired or was closed, and ErrOutcomeUnknown if no
+	// answer came.
 	Commit(ctx context.Context, t Txn) (uint64, error)
-	// OpenLease creates a lease that expires when it isn't renewed for ttl.
+	// OpenLease creates a lease that expires if it isn't renewed within ttl, and returns its id.
 	OpenLease(ctx context.Context, ttl time.Duration) (string, error)
-	// RenewLease extends the lease by its ttl; ErrLapsed when it is gone.
+	// RenewLease restarts the lease's ttl. It returns ErrLeaseNotFound if the lease has expired or
+	// was closed.
 	RenewLease(ctx context.Context, lease string) error
-	// CloseLease ends the lease at once and deletes the keys it holds.
+	// CloseLease ends the lease at once and deletes the keys bound to it.
 	CloseLease(ctx context.Context, lease string) error
 }
