--- a/internal/plat/hosts/doc.go
+++ b/internal/plat/hosts/doc.go
@@ -1,3 +1,3 @@
-// Package hosts reads the platform's lagging list of hosts: which are live and
-// which are leaving.
+// Package hosts reads the platform's list of hosts, which says which hosts are live and
+// which are leaving. The list lags behind the actual state.
 package hosts
--- a/internal/plat/hosts/hosts.go
+++ b/internal/plat/hosts/hosts.go
@@ -12,13 +12,13 @@
 // Kind says what runs on a host.
 type Kind string
 
-// The kinds of hosts that the list names.
+// The kinds of hosts in the list.
 const (
-	KindTarget Kind = "target"
-	KindWorker Kind = "worker"
+	KindTarget Kind = "target" // a back end of a service
+	KindWorker Kind = "worker" // runs tasks
 )
 
-// State is a host's state in the list.
+// State is the state of a host according to the list.
 type State string
 
 // The states of a host.
@@ -27,20 +27,20 @@
 	StateLeaving State = "leaving"
 )
 
-// Host is one row of the list: a target of a service, or a worker in a rack.
+// Host is one entry of the list: a target of a service, or a worker in a rack.
 type Host struct {
 	Addr    string `json:"addr"` // host:port
 	Kind    Kind   `json:"kind"`
-	Zone    string `json:"zone"` // failure domain
-	Rack    string `json:"rack,omitempty"`
-	Service string `json:"service,omitempty"`
+	Zone    string `json:"zone"`              // failure domain
+	Rack    string `json:"rack,omitempty"`    // of a worker
+	Service string `json:"service,omitempty"` // of a target
 	State   State  `json:"state"`
 }
 
-// ErrRead says that the list could not be read; the last one read stays in use.
+// ErrRead is returned when the list could not be read. The list last read stays in use.
 var ErrRead = errors.New("hosts: list not read")
 
-// maxListSize is the largest list in bytes that is read.
+// maxListSize is the size in bytes of the largest list that is read.
 const maxListSize = 64 << 20
 
 // Read fetches the list from url.
