--- a/internal/peer/member/doc.go
+++ b/internal/peer/member/doc.go
@@ -1,4 +1,4 @@
-// Package member keeps a process's membership among the entry processes: a lease
-// in the store, the view of who else is there, and heartbeats over net/rpc that
-// carry on while the store is away.
+// Package member maintains a process's membership in the group of entry processes: a
+// lease in the store, the view of all members, and heartbeats over net/rpc, which
+// continue while the store is unreachable.
 package member
--- a/internal/peer/member/group.go
+++ b/internal/peer/member/group.go
@@ -15,103 +15,105 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// Options says how a Group is set up; Self, Store and Links are needed.
+// Options configures a Group. Self, Store and Links are required.
 type Options struct {
-	Self              Member
+	Self              Member // this process
 	Store             store.Store
-	Links             *link.Set
-	LeaseTTL          time.Duration // of the membership in the store
-	WatchTimeout      time.Duration // of one watch
-	HeartbeatInterval time.Duration // between heartbeats
-	HeartbeatTimeout  time.Duration // of one heartbeat
+	Links             *link.Set     // links to the peers; those to addresses of no member are closed
+	LeaseTTL          time.Duration // time to live of the membership's lease in the store
+	WatchTimeout      time.Duration // longest wait of one watch of the store
+	HeartbeatInterval time.Duration
+	HeartbeatTimeout  time.Duration // of one heartbeat call
 	Log               logr.Logger
-	OnViewChange      func(View)                    // called on each new view, one call at a time
-	OnJoin            func()                        // called after each joining, before which others may have taken over
-	CurrentLoad       func() map[string]ServiceLoad // what heartbeats tell of this process
-	OnPeerLoad        func(id string, load map[string]ServiceLoad)
+	OnViewChange      func(View)                                   // called with each new view, one call at a time
+	OnJoin            func()                                       // called after each join; before it, other members may have taken over
+	CurrentLoad       func() map[string]ServiceLoad                // returns the load, by service, that heartbeats report of this process
+	OnPeerLoad        func(id string, load map[string]ServiceLoad) // called with the load from each heartbeat of a peer
 }
 
-// ServiceLoad is what a process tells its peers about one service.
+// ServiceLoad is the load of one service that a process reports to its peers.
 type ServiceLoad struct {
-	Free int           // its own slots that are free now
-	Want int           // requests that wait for a slot
-	Wait time.Duration // how long the oldest has waited
+	Free int           // free slots among those that the process owns
+	Want int           // requests waiting for a slot
+	Wait time.Duration // how long the oldest of them has waited
 }
 
-// Heartbeat is a heartbeat, and its answer too.
+// Heartbeat is the message of a heartbeat call and of its answer.
 type Heartbeat struct {
-	ID    string
-	Epoch uint64
-	Away  bool // the sender's own store calls fail
-	Load  map[string]ServiceLoad
+	ID    string                 // of the sender
+	Epoch uint64                 // of the sender's view
+	Away  bool                   // the sender's own store calls fail
+	Load  map[string]ServiceLoad // of the sender, by service
 }
 
-// Group is this process's membership; New makes one and Run keeps it.
+// Group is this process's membership in the group of entry processes. Run maintains it.
 type Group struct {
 	opts Options
 
 	mu                sync.Mutex
 	view              View
-	leaseID           string // open in the store
-	keyHeld           bool   // the own key is held under the lease
-	joinedAt          time.Time
-	self              Member
-	authorizedUntil   time.Time // own authority by the store's lease, on the monotonic clock
-	storeUnreachable  bool      // the last store call failed
-	lastHeard         map[string]time.Time
-	peersWithoutStore map[string]bool // peers whose store calls fail too
-	renewWake         chan struct{}
-
-	abandoned bool
+	leaseID           string               // lease in the store; empty: none is open
+	keyHeld           bool                 // this process's key is bound to the lease
+	joinedAt          time.Time            // when this process last joined
+	self              Member               // this process in its present state
+	authorizedUntil   time.Time            // end of the authorization by the store's lease, on the monotonic clock
+	storeUnreachable  bool                 // the last store call failed
+	lastHeard         map[string]time.Time // when a heartbeat last came from each peer, by id
+	peersWithoutStore map[string]bool      // peers whose last heartbeat said that their store calls fail, by id
+	renewWake         chan struct{}        // wakes the renewal loop; capacity 1
+
+	abandoned bool // Run leaves the lease open at its end
 }
 
-// New returns a group that isn't joined yet.
+// New returns a group that hasn't joined yet.
 func New(o Options) *Group {
 	return &Group{opts: o, self: o.Self, lastHeard: map[string]time.Time{}, peersWithoutStore: map[string]bool{}, renewWake: make(chan struct{}, 1)}
 }
 
-// View returns the latest view.
+// View returns the latest view that was read from the store.
 func (g *Group) View() View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.view
 }
 
-// ReadView returns the members as the store has them now, which may be ahead of View.
+// ReadView reads the membership from the store. The result may be newer than View.
 func (g *Group) ReadView(ctx context.Context) (View, error) {
-	p, err := g.opts.Store.List(ctx, keyPrefix, 0, 0)
+	listing, err := g.opts.Store.List(ctx, keyPrefix, 0, 0)
 	if err != nil {
 		return View{}, err
 	}
-	return decodeView(p), nil
+	return decodeView(listing), nil
 }
 
-// Self returns this process as a member.
+// Self returns this process as a member, in its present state.
 func (g *Group) Self() Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.self
 }
 
-// isUp reports whether the peer has answered or sent a heartbeat lately; the lock is held.
+// isUp reports whether a heartbeat or its answer came from the peer within peerTimeout. The
+// caller holds the lock.
 func (g *Group) isUp(id string, now time.Time) bool {
 	at, ok := g.lastHeard[id]
 	return ok && now.Sub(at) < g.peerTimeout()
 }
 
-// peerTimeout is how long a silent peer counts as up.
+// peerTimeout returns how long a peer counts as up after its last heartbeat.
 func (g *Group) peerTimeout() time.Duration {
 	return max(4*g.opts.HeartbeatInterval, 2*g.opts.HeartbeatTimeout)
 }
 
 // Authorized reports whether this process may act on what it holds.
 //
-// It guards against a process that was paused, or cut off, while others took over
-// what it held: both sides would then use the same slots. By the store's lease the
-// process stops a margin before the store lets anybody else take over. While the
-// store is away nobody can take anything over, so it goes on, but it can't tell
-// that from being cut off alone: a majority of the view has to answer, all of them
-// without the store as well.
+// It guards against a process that was paused or disconnected while others took over
+// what it held: both sides would then use the same slots. Under the store's lease, the
+// process stops acting a margin before the store lets any other process take over.
+// While the store is unreachable for all, nothing can be taken over, so the process may
+// continue to act. To tell that from being disconnected alone, it requires a quorum: a
+// majority of the view, this process included, is up, and none of these peers reaches the
+// store either.
 func (g *Group) Authorized() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +124,7 @@
 	if !g.storeUnreachable || !g.keyHeld {
 		return false
 	}
-	seconds := 1
+	confirming := 1
 	for _, m := range g.view.members {
 		if m.ID == g.self.ID || !g.isUp(m.ID, now) {
 			continue
@@ -130,12 +132,12 @@
 		if !g.peersWithoutStore[m.ID] {
 			return false
 		}
-		seconds++
+		confirming++
 	}
-	return 2*seconds > len(g.view.members)
+	return 2*confirming > len(g.view.members)
 }
 
-// Run keeps the membership until ctx ends, then closes the lease.
+// Run maintains the membership until ctx ends, and then closes the lease.
 func (g *Group) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, f := range []func(context.Context){g.renewLoop, g.watchLoop, g.heartbeatLoop} {
@@ -149,7 +151,8 @@
 	g.closeLease()
 }
 
-// SetState tells the peers a new state of this process; it is written with the next renewal, at once.
+// SetState sets the state that the peers see of this process. It is written with the next
+// renewal, which is started at once.
 func (g *Group) SetState(s State) {
 	g.mu.Lock()
 	g.self.State = s
@@ -157,7 +160,7 @@
 	g.wakeRenewal()
 }
 
-// wakeRenewal makes the next renewal happen at once.
+// wakeRenewal makes the renewal loop renew at once.
 func (g *Group) wakeRenewal() {
 	select {
 	case g.renewWake <- struct{}{}:
@@ -165,15 +168,16 @@
 	}
 }
 
-// renewLoop renews the lease at a third of its time, and joins anew when it has lapsed.
+// renewLoop renews the lease every third of its TTL, and after a failure every tenth of it. It
+// joins again if the lease has expired.
 func (g *Group) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := g.opts.LeaseTTL / 3
+		delay := g.opts.LeaseTTL / 3
 		if err := g.renewMembership(ctx); err != nil && ctx.Err() == nil {
 			g.opts.Log.V(0).Info("membership not renewed", "err", err.Error())
-			wait = g.opts.LeaseTTL / 10
+			delay = g.opts.LeaseTTL / 10
 		}
-		t := time.NewTimer(wait)
+		t := time.NewTimer(delay)
 		select {
 		case <-ctx.Done():
 		case <-g.renewWake:
@@ -183,6 +187,8 @@
 	}
 }
 
+// renewMembership opens the lease or renews it, and writes this process's key if necessary. If
+// the lease has expired, it joins again under a new one.
 func (g *Group) renewMembership(ctx context.Context) error {
 	g.mu.Lock()
 	lease, self := g.leaseID, g.self
@@ -202,41 +208,45 @@
 	}
 	if err == nil {
 		g.mu.Lock()
-		// Kept even if the key isn't: a write whose answer is lost may hold the key for it.
+		// Keep the lease even if writing the key fails: the write may have taken effect with
+		// its answer lost, and the key is then bound to this lease.
 		g.leaseID = lease
 		g.mu.Unlock()
 		err = g.writeKey(ctx, lease, self)
 	}
 	g.mu.Lock()
 	g.storeUnreachable = err != nil
-	anew := err == nil && !g.keyHeld
+	joined := err == nil && !g.keyHeld
 	if err == nil {
 		g.keyHeld = true
-		// Reckoned from before the renewal was sent, less a margin for clocks that
+		// The TTL counts from before the renewal was sent, less a margin for clocks that
 		// run at different rates.
 		g.authorizedUntil = sent.Add(g.opts.LeaseTTL - g.opts.LeaseTTL/10)
 	}
-	if anew {
+	if joined {
 		g.joinedAt = time.Now()
 	}
 	g.mu.Unlock()
-	if anew && g.opts.OnJoin != nil {
+	if joined && g.opts.OnJoin != nil {
 		g.opts.OnJoin()
 	}
 	return err
 }
 
-// JoinedAt returns when this process last joined; what it knew of its holdings before may be out of date.
+// JoinedAt returns when this process last joined. What it knew before that about what it holds
+// may be out of date.
 func (g *Group) JoinedAt() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.joinedAt
 }
 
-// writeKey writes this process's key when the view lacks it or shows it otherwise.
+// writeKey writes this process's key under the lease unless the view shows it there with
+// the same contents.
 //
-// A key that the view shows under another lease is an old one: it is gone already or lapses
-// with that lease, and others then take over what this process holds.
+// A key that the view shows under another lease is left from an earlier membership: it is
+// deleted already or will be when that lease expires, and other members then take over
+// what this process holds.
 func (g *Group) writeKey(ctx context.Context, lease string, self Member) error {
 	if v := g.View(); v.leaseIDs[self.ID] == lease {
 		if m, ok := v.Get(self.ID); ok && m == self {
@@ -250,21 +260,22 @@
 	return g.opts.Store.Acquire(ctx, lease, keyPrefix+self.ID, value)
 }
 
-// watchLoop follows the members in the store.
+// watchLoop watches the members' keys in the store and applies each new view.
 func (g *Group) watchLoop(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
-		p, err := g.opts.Store.List(ctx, keyPrefix, after, g.opts.WatchTimeout)
+		listing, err := g.opts.Store.List(ctx, keyPrefix, after, g.opts.WatchTimeout)
 		if err != nil {
 			g.markStoreUnreachable(ctx)
 			wait.For(ctx, g.opts.LeaseTTL/10)
 			continue
 		}
-		after = p.Rev
-		g.applyView(decodeView(p))
+		after = listing.Rev
+		g.applyView(decodeView(listing))
 	}
 }
 
+// markStoreUnreachable notes that a store call failed, unless it failed because ctx ended.
 func (g *Group) markStoreUnreachable(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
@@ -274,6 +285,7 @@
 	g.storeUnreachable = true
 }
 
+// applyView replaces the view if v is newer. It renews the membership at once if v lacks this process.
 func (g *Group) applyView(v View) {
 	g.mu.Lock()
 	if v.epoch <= g.view.epoch {
@@ -291,33 +303,34 @@
 	if _, ok := v.Get(self.ID); !ok {
 		g.wakeRenewal()
 	}
-	g.opts.Log.Info("view changed", "epoch", v.epoch, "members", len(v.members))
+	g.opts.Log.Info("membership view changed", "epoch", v.epoch, "members", len(v.members))
 	if g.opts.OnViewChange != nil {
 		g.opts.OnViewChange(v)
 	}
 }
 
-// heartbeatLoop exchanges heartbeats with the peers whose ids are higher; the others call here.
-// One exchange tells both sides.
+// heartbeatLoop sends heartbeats to the peers with higher ids. Peers with lower ids call this
+// process: as the answer is a heartbeat too, one call informs both sides.
 func (g *Group) heartbeatLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	busy := &nameSet{}
-	told := map[string]time.Time{}
-	var last map[string]ServiceLoad
+	inFlight := &nameSet{}
+	lastSent := map[string]time.Time{}
+	var lastLoad map[string]ServiceLoad
 	for ctx.Err() == nil {
 		load := g.currentLoad()
-		changed := !maps.Equal(load, last)
-		last = load
+		changed := !maps.Equal(load, lastLoad)
+		lastLoad = load
 		now := time.Now()
 		for _, m := range g.View().Members() {
-			// With nothing new to tell, a beat now and then shows that both are there.
-			if m.ID <= g.opts.Self.ID || !changed && now.Sub(told[m.ID]) < g.opts.HeartbeatTimeout/2 || !busy.add(m.ID) {
+			// While the load doesn't change, heartbeats only show that both sides are up, and
+			// half the timeout is a sufficient interval.
+			if m.ID <= g.opts.Self.ID || !changed && now.Sub(lastSent[m.ID]) < g.opts.HeartbeatTimeout/2 || !inFlight.add(m.ID) {
 				continue
 			}
-			told[m.ID] = now
+			lastSent[m.ID] = now
 			wg.Go(func() {
-				defer busy.remove(m.ID)
+				defer inFlight.remove(m.ID)
 				g.sendHeartbeat(ctx, m)
 			})
 		}
@@ -325,39 +338,42 @@
 	}
 }
 
-// nameSet marks names, each until it is cleared; the zero value marks none.
+// nameSet is a set of names. It is safe for concurrent use; the zero value is empty.
 type nameSet struct {
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// add marks the name and reports whether it wasn't marked before.
-func (f *nameSet) add(name string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.names == nil {
-		f.names = map[string]bool{}
+// add adds the name and reports whether it was absent before.
+func (s *nameSet) add(name string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.names == nil {
+		s.names = map[string]bool{}
 	}
-	old := f.names[name]
-	f.names[name] = true
-	return !old
+	present := s.names[name]
+	s.names[name] = true
+	return !present
 }
 
-func (f *nameSet) remove(name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.names, name)
+func (s *nameSet) remove(name string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.names, name)
 }
 
+// sendHeartbeat sends one heartbeat to a peer and handles the answer. It ignores the answer of a
+// process with another id at the peer's address.
 func (g *Group) sendHeartbeat(ctx context.Context, m Member) {
-	cctx, cancel := context.WithTimeout(ctx, g.opts.HeartbeatTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, g.opts.HeartbeatTimeout)
 	defer cancel()
-	b, err := link.Call[Heartbeat, Heartbeat](cctx, g.opts.Links.Get(m.Addr), "Peer.Beat", g.Heartbeat())
+	b, err := link.Call[Heartbeat, Heartbeat](callCtx, g.opts.Links.Get(m.Addr), "Peer.Beat", g.Heartbeat())
 	if err == nil && b.ID == m.ID {
 		g.HandleHeartbeat(b)
 	}
 }
 
+// currentLoad returns the load for the next heartbeat, nil if Options has no source of it.
 func (g *Group) currentLoad() map[string]ServiceLoad {
 	if g.opts.CurrentLoad == nil {
 		return nil
@@ -365,7 +381,7 @@
 	return g.opts.CurrentLoad()
 }
 
-// Heartbeat returns the heartbeat that tells of this process now.
+// Heartbeat returns a heartbeat with the present state of this process.
 func (g *Group) Heartbeat() Heartbeat {
 	load := g.currentLoad()
 	g.mu.Lock()
@@ -373,21 +389,21 @@
 	return Heartbeat{g.self.ID, g.view.epoch, g.storeUnreachable, load}
 }
 
-// HandleHeartbeat takes in a peer's heartbeat.
+// HandleHeartbeat processes the heartbeat of a peer. It ignores senders that aren't in the view.
 func (g *Group) HandleHeartbeat(b Heartbeat) {
 	g.mu.Lock()
 	_, known := g.view.Get(b.ID)
 	if known {
 		g.lastHeard[b.ID] = time.Now()
 	}
-	back := known && g.storeUnreachable && !b.Away && g.peersWithoutStore[b.ID]
+	storeMayBeBack := known && g.storeUnreachable && !b.Away && g.peersWithoutStore[b.ID]
 	if known {
 		g.peersWithoutStore[b.ID] = b.Away
 	}
 	g.mu.Unlock()
-	if back {
-		// The store may be back. Until this process has renewed its lease it can't tell
-		// that from being the only one cut off, and stands still.
+	if storeMayBeBack {
+		// A peer reaches the store again. Until this process has renewed its lease, it can't
+		// tell the store's return from being the only disconnected process, and is not authorized.
 		g.wakeRenewal()
 	}
 	if known && g.opts.OnPeerLoad != nil {
@@ -395,14 +411,15 @@
 	}
 }
 
-// AbandonLease makes the end of Run leave the lease to lapse by itself, as a process that
-// dies would.
+// AbandonLease makes Run leave the lease open at its end, so that it expires as after a crash
+// of the process.
 func (g *Group) AbandonLease() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.abandoned = true
 }
 
+// closeLease closes the lease, if any, unless it is abandoned.
 func (g *Group) closeLease() {
 	g.mu.Lock()
 	lease := g.leaseID
@@ -417,6 +434,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), g.opts.HeartbeatTimeout*2)
 	defer cancel()
 	if err := g.opts.Store.CloseLease(ctx, lease); err != nil {
-		g.opts.Log.Info("lease not closed; it lapses by itself", "err", err.Error())
+		g.opts.Log.Info("closing the membership lease failed; it will expire", "err", err.Error())
 	}
 }
--- a/internal/peer/member/group_test.go
+++ b/internal/peer/member/group_test.go
@@ -14,21 +14,22 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// lossyStore carries out the next Hold and loses its answer.
+// lossyStore is a store that can lose the answer to one Acquire.
 type lossyStore struct {
 	store.Store
-	loseAnswer bool
+	loseAnswer bool // the next successful Acquire returns an unknown outcome
 }
 
-func (d *lossyStore) Acquire(ctx context.Context, lease, key string, value []byte) error {
-	err := d.Store.Acquire(ctx, lease, key, value)
-	if d.loseAnswer && err == nil {
-		d.loseAnswer = false
+func (s *lossyStore) Acquire(ctx context.Context, lease, key string, value []byte) error {
+	err := s.Store.Acquire(ctx, lease, key, value)
+	if s.loseAnswer && err == nil {
+		s.loseAnswer = false
 		return errors.Wrap(store.ErrOutcomeUnknown, "answer lost")
 	}
 	return err
 }
 
+// newGroup returns a group that hasn't joined, with its store.
 func newGroup(t *testing.T) (*Group, *lossyStore) {
 	t.Helper()
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
@@ -40,28 +41,29 @@
 	}), s
 }
 
-// refreshView makes the group's view that of the store.
+// refreshView reads the membership from the store and applies it as the group's view.
 func refreshView(t *testing.T, g *Group) {
 	t.Helper()
-	p, err := g.opts.Store.List(context.Background(), keyPrefix, 0, 0)
+	listing, err := g.opts.Store.List(context.Background(), keyPrefix, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.applyView(decodeView(p))
+	g.applyView(decodeView(listing))
 }
 
-// checkKeyHeld checks that the process is a member for the others as soon as it is lawful.
+// checkKeyHeld checks that while the process is authorized, its key is bound to its lease, so that
+// the other processes see it as a member.
 func checkKeyHeld(t *testing.T, g *Group) {
 	t.Helper()
 	e, err := g.opts.Store.Get(context.Background(), keyPrefix+"e1")
 	if g.Authorized() && (err != nil || e.Lease != g.leaseID) {
-		t.Errorf("lawful by lease %s, with key %+v, %v", g.leaseID, e, err)
+		t.Errorf("authorized under lease %s, but its key is %+v, %v", g.leaseID, e, err)
 	}
 }
 
-// A process was paused for longer than its lease and joins again while its view still
-// shows its old key. It must not act as a member that nobody else knows of: two would own
-// what the others have taken over.
+// A process is paused for longer than its lease and joins again while its view still
+// shows its old key. If it then acted without writing its key, the other processes would not see
+// it as a member, and what they have taken over would have two owners.
 func TestRejoinWithStaleView(t *testing.T) {
 	ctx := context.Background()
 	g, s := newGroup(t)
@@ -76,29 +78,29 @@
 		t.Fatal(err)
 	}
 	if !g.Authorized() {
-		t.Error("not lawful after joining again")
+		t.Error("not authorized after joining again")
 	}
 	checkKeyHeld(t, g)
 }
 
-// The answer to the write of a process's key is lost. The process must not go on under a
-// lease that doesn't hold the key: the key would lapse while the process acts on.
+// The answer to the write of a process's key is lost. The process must not continue under another
+// lease than the one its key is bound to: the key would expire while the process still acts.
 func TestAcquireAnswerLost(t *testing.T) {
 	ctx := context.Background()
 	g, s := newGroup(t)
 	s.loseAnswer = true
 	if err := g.renewMembership(ctx); !errors.Is(err, store.ErrOutcomeUnknown) {
-		t.Fatalf("joined without an answer: %v", err)
+		t.Fatalf("renewal whose answer is lost: %v, want ErrOutcomeUnknown", err)
 	}
 	if g.Authorized() {
-		t.Error("lawful before it is known that the key is held")
+		t.Error("authorized before the write of the key is known to have succeeded")
 	}
 	refreshView(t, g)
 	if err := g.renewMembership(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if !g.Authorized() {
-		t.Error("not lawful after joining")
+		t.Error("not authorized after joining")
 	}
 	checkKeyHeld(t, g)
 }
--- a/internal/peer/member/view.go
+++ b/internal/peer/member/view.go
@@ -10,35 +10,38 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// State is a member's own word on itself.
+// State is the state that a member reports of itself.
 type State string
 
 // The states of a member.
 const (
 	StateLive    State = "live"
-	StateLeaving State = "leaving" // takes over nothing, still answers
+	StateLeaving State = "leaving" // takes over nothing, but still answers
 )
 
-// Member is one entry process as its peers know it.
+// Member is an entry process as stored under its key, where its peers read it.
 type Member struct {
 	ID    string `json:"id"`
-	Addr  string `json:"addr"` // for net/rpc
-	Zone  string `json:"zone"`
+	Addr  string `json:"addr"` // host:port for net/rpc
+	Zone  string `json:"zone"` // failure domain
 	State State  `json:"state"`
 }
 
 // View is the membership at one revision of the store.
 type View struct {
-	epoch    uint64
-	members  []Member
-	leaseIDs map[string]string // that hold the members' keys, by id
+	epoch    uint64            // revision of the store
+	members  []Member          // in order of id
+	leaseIDs map[string]string // lease to which each member's key is bound, by member id
 }
 
+// keyPrefix is the prefix of the members' keys in the store.
 const keyPrefix = "member/"
 
-func decodeView(p store.Listing) View {
-	v := View{epoch: p.Rev, leaseIDs: map[string]string{}}
-	for _, e := range p.Entries {
+// decodeView returns the view that the stored members make up. It skips entries that can't be
+// decoded or whose key and id differ.
+func decodeView(listing store.Listing) View {
+	v := View{epoch: listing.Rev, leaseIDs: map[string]string{}}
+	for _, e := range listing.Entries {
 		var m Member
 		if json.Unmarshal(e.Value, &m) == nil && m.ID == strings.TrimPrefix(e.Key, keyPrefix) {
 			v.members = append(v.members, m)
@@ -49,20 +52,20 @@
 	return v
 }
 
-// NewView returns a view made of members; for tests and for adapters without a store.
+// NewView returns a view with the given members. It is meant for tests and for adapters without a store.
 func NewView(epoch uint64, members ...Member) View {
 	v := View{epoch: epoch, members: slices.Clone(members)}
 	slices.SortFunc(v.members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	return v
 }
 
-// Epoch returns the store revision of the view; it only grows.
+// Epoch returns the store's revision at which the view was read. It increases from view to view.
 func (v View) Epoch() uint64 { return v.epoch }
 
-// Members returns every member in order of id.
+// Members returns all members in order of id.
 func (v View) Members() []Member { return v.members }
 
-// Get returns the member with the id.
+// Get returns the member with the id, and whether there is one.
 func (v View) Get(id string) (Member, bool) {
 	for _, m := range v.members {
 		if m.ID == id {
@@ -72,7 +75,7 @@
 	return Member{}, false
 }
 
-// LiveIDs returns the ids of the members that aren't leaving, in order.
+// LiveIDs returns the ids of the members that aren't leaving, in ascending order.
 func (v View) LiveIDs() []string {
 	var ids []string
 	for _, m := range v.members {
@@ -83,23 +86,25 @@
 	return ids
 }
 
-// HomeOf returns the live member that a key belongs to, leaving out those in not;
-// every process with the same view names the same one, and a member's coming or
-// going moves only the keys that are or were its own.
-func (v View) HomeOf(key string, not ...string) (Member, bool) {
+// HomeOf returns the home of a key: the live member that is responsible for it, by rendezvous
+// hashing. Members whose ids are in excluded are left out. Every process with the same view
+// computes the same home, and a member that joins or leaves changes the home only of keys for
+// which it is or was the home itself.
+func (v View) HomeOf(key string, excluded ...string) (Member, bool) {
 	var best Member
-	var top uint64
+	var bestScore uint64
 	for _, m := range v.members {
-		if m.State == StateLeaving || slices.Contains(not, m.ID) {
+		if m.State == StateLeaving || slices.Contains(excluded, m.ID) {
 			continue
 		}
-		if s := rendezvousScore(m.ID, key); best.ID == "" || s > top {
-			best, top = m, s
+		if s := rendezvousScore(m.ID, key); best.ID == "" || s > bestScore {
+			best, bestScore = m, s
 		}
 	}
 	return best, best.ID != ""
 }
 
+// rendezvousScore returns a member's weight for a key. The member with the highest weight is the home.
 func rendezvousScore(id, key string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
@@ -108,8 +113,8 @@
 	return mixBits(h.Sum64())
 }
 
-// mixBits spreads FNV's weakly mixed low bits over the whole word, so that ranks by
-// score are even among members.
+// mixBits spreads FNV's weakly mixed low bits over the whole word, so that keys are
+// distributed evenly among the members.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
