--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -11,31 +11,31 @@
 )
 
 var (
-	// ErrUnreachable says that the peer could not be reached; the call was not made.
+	// ErrUnreachable is returned when the peer could not be reached; the call was not sent.
 	ErrUnreachable = errors.New("link: peer down")
-	// ErrAnswerLost says that no answer came back; the call may have been made.
+	// ErrAnswerLost is returned when no answer came; the call may have been carried out.
 	ErrAnswerLost = errors.New("link: answer lost")
 )
 
-// acceptRetryDelay is left after a connection that couldn't be accepted, as when the process has as many
-// descriptors open as it may.
+// acceptRetryDelay is the delay after an accept that failed, as it does while the process has
+// reached its limit of open descriptors.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// redialDelay is how long a link that failed to connect answers ErrDown without another try.
+// redialDelay is how long after a failed dial a link returns ErrUnreachable without dialing again.
 const redialDelay = 100 * time.Millisecond
 
-// Link is a connection to one peer that is made when needed and made anew when lost;
-// it is safe for concurrent use.
+// Link is a connection to one peer. It is dialed by the first call and dialed again by the next
+// call after it is lost. A Link is safe for concurrent use.
 type Link struct {
-	addr string
+	addr string // host:port of the peer
 
 	mu       sync.Mutex
-	client   *rpc.Client
-	failedAt time.Time
+	client   *rpc.Client // on the open connection; nil: not connected
+	failedAt time.Time   // when the last dial failed
 	closed   bool
 }
 
-// New returns a link to the peer at addr (host:port); nothing is dialed yet.
+// New returns a link to the peer at addr (host:port). It doesn't dial yet.
 func New(addr string) *Link {
 	return &Link{addr: addr}
 }
@@ -45,8 +45,9 @@
 	return l.addr
 }
 
-// Call sends in to the peer's method and returns its answer, or ErrDown, ErrLost
-// (also when ctx ends first) or the error that the peer returned.
+// Call calls a method of the peer with the argument in and returns its answer. The error is
+// ErrUnreachable, ErrAnswerLost (also if ctx ends before the answer) or the error that the
+// peer's method returned.
 func Call[In, Out any](ctx context.Context, l *Link, method string, in In) (Out, error) {
 	var out Out
 	c, err := l.connect(ctx)
@@ -56,16 +57,16 @@
 	call := c.Go(method, in, &out, make(chan *rpc.Call, 1))
 	select {
 	case <-ctx.Done():
-		// The reply may still be written to, so it's left to the pending call.
-		var none Out
-		return none, errors.Wrap(ErrAnswerLost, ctx.Err().Error())
+		// The pending call may still write to out, so out must not be read here.
+		var zero Out
+		return zero, errors.Wrap(ErrAnswerLost, ctx.Err().Error())
 	case <-call.Done:
 	}
-	var remote rpc.ServerError
+	var methodErr rpc.ServerError
 	switch {
 	case call.Error == nil:
 		return out, nil
-	case errors.As(call.Error, &remote):
+	case errors.As(call.Error, &methodErr):
 		return out, call.Error
 	case errors.Is(call.Error, rpc.ErrShutdown):
 		l.dropClient(c)
@@ -75,6 +76,7 @@
 	return out, errors.Wrap(ErrAnswerLost, call.Error.Error())
 }
 
+// connect returns the client of the open connection, or dials.
 func (l *Link) connect(ctx context.Context) (*rpc.Client, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,6 +96,7 @@
 	return l.client, nil
 }
 
+// dropClient closes the connection of c if it is still the link's connection.
 func (l *Link) dropClient(c *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,11 +106,11 @@
 	}
 }
 
-// Reset drops the connection, so that the next call makes a new one. Calls under way return
-// ErrLost.
+// Reset closes the connection, so that the next call dials a new one. Pending calls return
+// ErrAnswerLost.
 //
-// The failure it guards against: a connection goes silent for good, without a reset, while a
-// new one would work; calls over it time out one after the other.
+// The failure it guards against: a connection stops delivering data for good without a TCP
+// reset, and all calls over it time out, while a new connection would work.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	c := l.client
@@ -117,7 +120,7 @@
 	}
 }
 
-// Close ends the link; later calls return ErrDown.
+// Close closes the link. Later calls return ErrUnreachable.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,13 +131,13 @@
 	}
 }
 
-// Set holds one link for each address.
+// Set holds one link for each address. It is safe for concurrent use; the zero value is empty.
 type Set struct {
 	mu    sync.Mutex
-	links map[string]*Link
+	links map[string]*Link // by address
 }
 
-// Get returns the link to addr, the same for every caller.
+// Get returns the link to addr and creates it if necessary. All callers share it.
 func (s *Set) Get(addr string) *Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,33 +152,33 @@
 	return l
 }
 
-// CloseExcept closes the links to every address not in addrs.
+// CloseExcept closes and removes the links to all addresses that aren't in addrs.
 func (s *Set) CloseExcept(addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	want := map[string]bool{}
+	keep := map[string]bool{}
 	for _, a := range addrs {
-		want[a] = true
+		keep[a] = true
 	}
 	for a, l := range s.links {
-		if !want[a] {
+		if !keep[a] {
 			l.Close()
 			delete(s.links, a)
 		}
 	}
 }
 
-// Server answers the calls of peers.
+// Server answers calls of peers.
 type Server struct {
 	rpc *rpc.Server
 
 	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	listener net.Listener
-	wg       sync.WaitGroup
+	conns    map[net.Conn]bool // open connections
+	listener net.Listener      // set by Serve
+	wg       sync.WaitGroup    // one for each open connection
 }
 
-// NewServer returns a server that answers with the methods of impl under name.
+// NewServer returns a server that offers the methods of impl as those of the net/rpc service name.
 func NewServer(name string, impl any) (*Server, error) {
 	s := &Server{rpc: rpc.NewServer(), conns: map[net.Conn]bool{}}
 	if err := s.rpc.RegisterName(name, impl); err != nil {
@@ -184,7 +187,7 @@
 	return s, nil
 }
 
-// Serve accepts connections until Close.
+// Serve accepts connections and answers their calls until Close. A failed accept is retried.
 func (s *Server) Serve(lis net.Listener) {
 	s.mu.Lock()
 	s.listener = lis
@@ -206,6 +209,7 @@
 	}
 }
 
+// serveConn answers the calls of one connection until it is closed.
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.wg.Done()
 	s.rpc.ServeConn(conn)
@@ -214,7 +218,7 @@
 	s.mu.Unlock()
 }
 
-// Close stops accepting, closes the connections and waits for their goroutines.
+// Close closes the listener and all connections and waits for the connections' goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if s.listener != nil {
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -10,17 +10,18 @@
 	"github.com/pkg/errors"
 )
 
-// echo answers with what it's sent.
+// echo is the implementation of a net/rpc service for tests.
 type echo struct{}
 
-// Same is called by its name over net/rpc.
+// Same answers with its argument. It is called by name over net/rpc.
 func (echo) Same(in int, out *int) error {
 	*out = in
 	return nil
 }
 
-// An entry refuses its callers for good: its connection to the holder has gone silent without
-// a reset, and every call over it times out, while a new connection would work.
+// TestReset guards against an entry process that refuses its callers for good: its connection to
+// the holder stops delivering data without a TCP reset, and all calls over it time out, while a
+// new connection would work.
 func TestReset(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,22 +46,24 @@
 	defer l.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	if _, err := Call[int, int](ctx, l, "Echo.Same", 7); !errors.Is(err, ErrAnswerLost) {
-		t.Fatalf("over the silent connection: %v", err)
+		t.Fatalf("call over a connection that nobody reads: %v, want ErrAnswerLost", err)
 	}
 	cancel()
 	defer func() { _ = (<-silent).Close() }()
 	l.Reset()
 	if got, err := Call[int, int](context.Background(), l, "Echo.Same", 7); err != nil || got != 7 {
-		t.Errorf("after the reset: %d, %v", got, err)
+		t.Errorf("call after the reset: %d, %v, want 7", got, err)
 	}
 }
 
-// failingListener fails its first accepts as when the process is out of descriptors.
+// failingListener is a listener whose first accepts fail as if the process had reached its
+// limit of open descriptors.
 type failingListener struct {
 	net.Listener
-	failures int
+	failures int // accepts that still have to fail
 }
 
+// Accept implements net.Listener.
 func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
@@ -69,8 +72,8 @@
 	return l.Listener.Accept()
 }
 
-// TestServeOutOfDescriptors guards against a server that accepts no connection any more after
-// one accept has failed.
+// TestServeOutOfDescriptors guards against a server that stops accepting connections after one
+// accept has failed.
 func TestServeOutOfDescriptors(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,9 +83,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(served)
 		s.Serve(&failingListener{lis, 3})
 	}()
 	l := New(lis.Addr().String())
@@ -93,5 +96,5 @@
 		t.Errorf("Call = %d, %v, want 7", got, err)
 	}
 	s.Close()
-	<-over
+	<-served
 }
