--- a/internal/peer/member/group_test.go
+++ b/internal/peer/member/group_test.go
@@ -20,6 +20,7 @@
 	loseAnswer bool // the next successful Acquire returns an unknown outcome
 }
 
+// Acquire implements store.Store.
 func (s *lossyStore) Acquire(ctx context.Context, lease, key string, value []byte) error {
 	err := s.Store.Acquire(ctx, lease, key, value)
 	if s.loseAnswer && err == nil {
