--- a/internal/base/bucket/doc.go
+++ b/internal/base/bucket/doc.go
@@ -1,3 +1,3 @@
-// Package bucket keeps items by a coarse level, so that those of at least some level are found without
-// walking over all items.
+// Package bucket indexes items by a coarse level, so that the items of at least a given level are
+// found without iterating over all items.
 package bucket
--- a/internal/base/bucket/index.go
+++ b/internal/base/bucket/index.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Index keeps each of its items in the bucket of the item's level. The zero value is empty and ready to use; it
+// Index holds items, each in the bucket of the item's level. The zero value is empty and ready to use. It
 // isn't safe for concurrent use.
 type Index[T comparable] struct {
-	buckets   [][]T
-	positions map[T]position
+	buckets   [][]T          // items by level
+	positions map[T]position // by item
 }
 
-// position is where an item is.
+// position is the place of an item in the buckets.
 type position struct {
 	level int
 	index int // in the level's bucket
 }
 
-// Set puts an item at a level, whether the index has it or not. A level below 0 counts as 0.
+// Set adds an item at a level, or moves it there if the index has it already. A level below 0 counts as 0.
 func (x *Index[T]) Set(item T, level int) {
 	level = max(level, 0)
 	if p, ok := x.positions[item]; ok {
@@ -37,7 +37,7 @@
 	x.buckets[level] = append(x.buckets[level], item)
 }
 
-// Remove takes an item out of the index, if it is there.
+// Remove removes an item if the index has it.
 func (x *Index[T]) Remove(item T) {
 	p, ok := x.positions[item]
 	if !ok {
@@ -45,16 +45,16 @@
 	}
 	delete(x.positions, item)
 	b := x.buckets[p.level]
-	end := len(b) - 1
-	if p.index < end {
-		b[p.index] = b[end]
+	last := len(b) - 1
+	if p.index < last {
+		b[p.index] = b[last]
 		x.positions[b[p.index]] = p
 	}
-	b[end] = *new(T)
-	x.buckets[p.level] = b[:end]
+	b[last] = *new(T)
+	x.buckets[p.level] = b[:last]
 }
 
-// CountAtLeast returns how many items have at least a level.
+// CountAtLeast returns the number of items whose level is at least the given one.
 func (x *Index[T]) CountAtLeast(level int) int {
 	n := 0
 	for l := max(level, 0); l < len(x.buckets); l++ {
@@ -63,8 +63,8 @@
 	return n
 }
 
-// SampleAtLeast returns the items of at least a level, the highest levels first. Of more than limit items it returns
-// about limit, spread evenly over all of them; which ones depends on the offset.
+// SampleAtLeast returns the items whose level is at least the given one, highest levels first. If there are more
+// than limit, it returns about limit of them, evenly spaced; the offset determines which ones.
 func (x *Index[T]) SampleAtLeast(level, limit, offset int) iter.Seq[T] {
 	stride := max(1, x.CountAtLeast(level)/max(limit, 1))
 	return func(yield func(T) bool) {
--- a/internal/base/bucket/index_test.go
+++ b/internal/base/bucket/index_test.go
@@ -26,15 +26,16 @@
 	} {
 		got := slices.Sorted(x.SampleAtLeast(tt.level, tt.limit, tt.offset))
 		if !slices.Equal(got, tt.want) {
-			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
+			t.Errorf("%s: items %v, want %v", tt.name, got, tt.want)
 		}
 		if n := x.CountAtLeast(tt.level); n != len(tt.want) {
-			t.Errorf("%s: %d items, want %d", tt.name, n, len(tt.want))
+			t.Errorf("%s: CountAtLeast = %d, want %d", tt.name, n, len(tt.want))
 		}
 	}
 }
 
-// Sets and removals in any order leave each item at its last level, once.
+// After any sequence of Set and Remove, the index holds each item once, at the level last set. A sample
+// has at most twice the limit, is not empty where there are items, and lists the highest levels first.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x bucket.Index[int]
@@ -59,19 +60,19 @@
 			}
 			slices.Sort(items)
 			if got := slices.Sorted(x.SampleAtLeast(level, 100, 0)); !slices.Equal(got, items) {
-				t.Fatalf("level %d: %v, want %v", level, got, items)
+				t.Fatalf("level %d: items %v, want %v", level, got, items)
 			}
 			limit := rapid.IntRange(1, 30).Draw(t, "limit")
 			got := slices.Collect(x.SampleAtLeast(level, limit, rapid.IntRange(0, 50).Draw(t, "offset")))
 			if len(got) > 2*limit || len(items) > 0 && len(got) == 0 {
-				t.Fatalf("level %d: %d of %d items for a limit of %d", level, len(got), len(items), limit)
+				t.Fatalf("level %d: sample of %d of %d items with a limit of %d", level, len(got), len(items), limit)
 			}
 			levels := make([]int, 0, len(got))
 			for _, item := range got {
 				levels = append(levels, -want[item])
 			}
 			if !slices.IsSorted(levels) {
-				t.Fatalf("level %d: not the highest first: %v", level, levels)
+				t.Fatalf("level %d: sample not in descending order of level; negated levels %v", level, levels)
 			}
 		}
 	})
