--- a/internal/base/conf/conf.go
+++ b/internal/base/conf/conf.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 )
 
-// Settings is everything a serving process is told; Default gives working values.
+// Settings holds all settings of an entry process. Default returns working values.
 type Settings struct {
 	Name   string `toml:"name"`
-	Zone   string `toml:"zone"`
+	Zone   string `toml:"zone"` // failure domain
 	Listen Listen `toml:"listen"`
 	Store  Store  `toml:"store"`
 	Hosts  Hosts  `toml:"hosts"`
@@ -30,71 +30,71 @@
 
 // Listen holds the addresses (host:port) on which the process listens.
 type Listen struct {
-	Caller string `toml:"caller"`
-	Peer   string `toml:"peer"`
-	Admin  string `toml:"admin"`
+	Caller string `toml:"caller"` // for callers' requests
+	Peer   string `toml:"peer"`   // for calls of other entry processes
+	Admin  string `toml:"admin"`  // for the administration API
 }
 
-// Store says where the platform's key-value service is and how it is used.
+// Store sets the access to the platform's key-value service.
 type Store struct {
 	URL          string        `toml:"url"`
 	Timeout      time.Duration `toml:"timeout"` // of one call
-	LeaseTTL     time.Duration `toml:"lease"`   // of this process
-	WatchTimeout time.Duration `toml:"wait"`    // of one watch
+	LeaseTTL     time.Duration `toml:"lease"`   // time to live of this process's lease
+	WatchTimeout time.Duration `toml:"wait"`    // longest wait of one watch
 }
 
-// Hosts says where the host list is and how often it is read.
+// Hosts sets the reading of the host list.
 type Hosts struct {
 	URL      string        `toml:"url"`
-	Interval time.Duration `toml:"every"`
+	Interval time.Duration `toml:"every"` // between two reads
 }
 
-// Peer sets the exchange among the entry processes.
+// Peer sets the calls between entry processes.
 type Peer struct {
 	HeartbeatInterval time.Duration `toml:"beat"`    // between two heartbeats to a peer
 	Timeout           time.Duration `toml:"timeout"` // of one call
 }
 
-// Limit bounds what callers may send and how long.
+// Limit bounds the requests of callers and their answers.
 type Limit struct {
-	MaxRequestBytes    int64         `toml:"body"`   // bytes of a request
-	MaxAnswerBytes     int64         `toml:"answer"` // bytes of an answer
-	ReadTimeout        time.Duration `toml:"read"`   // for a request's header and body to arrive
+	MaxRequestBytes    int64         `toml:"body"`   // size of a request's body
+	MaxAnswerBytes     int64         `toml:"answer"` // size of an answer's body
+	ReadTimeout        time.Duration `toml:"read"`   // time in which a request's header and body have to arrive
 	RequestIDRetention time.Duration `toml:"keep"`   // how long request ids are remembered
 }
 
 // Stop sets the graceful shutdown.
 type Stop struct {
-	Linger time.Duration `toml:"linger"` // how long the balancer may still send
-	Grace  time.Duration `toml:"grace"`  // for requests in flight to end
+	Linger time.Duration `toml:"linger"` // how long the load balancer may still send requests after the stop begins
+	Grace  time.Duration `toml:"grace"`  // how long requests in flight then have to finish
 }
 
-// Trace sends spans to an OTLP/HTTP collector; empty means off.
+// Trace sets the export of trace spans.
 type Trace struct {
-	URL string `toml:"url"`
+	URL string `toml:"url"` // of an OTLP/HTTP collector; empty: no export
 }
 
-// Admin protects the administration API.
+// Admin sets the access control of the administration API.
 type Admin struct {
-	Token string `toml:"token"` // empty: no token is asked for
+	Token string `toml:"token"` // bearer token that calls must carry; empty: none is required
 }
 
-// Log sets what is logged: debug, info, warn or error.
+// Log sets the logging.
 type Log struct {
-	Level string `toml:"level"`
+	Level string `toml:"level"` // debug, info, warn or error
 }
 
-// Worker sets how tasks are held on workers.
+// Worker sets the control of tasks on workers.
 type Worker struct {
-	LeaseTTL     time.Duration `toml:"lease"` // of a worker's tasks, renewed at a third of it
+	LeaseTTL     time.Duration `toml:"lease"` // time to live of the lease of a worker's tasks; renewed every third of it
 	PollInterval time.Duration `toml:"poll"`  // between two reports
-	MaxConfigAge time.Duration `toml:"fresh"` // age of the last confirmed configuration up to which tasks start
-	// Buckets is the number of records that jobs are spread over. It is the same in every
-	// process and stays as it is: a job is found by it.
+	MaxConfigAge time.Duration `toml:"fresh"` // age of the last confirmed configuration up to which tasks are started
+	// Buckets is the number of records that jobs are distributed over. It must be the same in
+	// every process and must never change, as the record of a job is found by means of it.
 	Buckets int `toml:"buckets"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the settings that apply where a file sets nothing.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{"127.0.0.1:8080", "127.0.0.1:8081", "127.0.0.1:8082"},
@@ -108,17 +108,18 @@
 	}
 }
 
+// maxBuckets is the largest allowed value of worker.buckets.
 const maxBuckets = 1000
 
-// Errors lists everything that is wrong with a file, each with its key and, where known, its line.
+// Errors lists all errors in a settings file, each with its key and, where known, its line.
 type Errors []string
 
-// Error returns the faults, one a line.
-func (f Errors) Error() string {
-	return "conf: " + strings.Join(f, "\nconf: ")
+// Error returns the errors, one on each line.
+func (e Errors) Error() string {
+	return "conf: " + strings.Join(e, "\nconf: ")
 }
 
-// Load reads and checks a settings file; the error is Faults when the file was read but is wrong.
+// Load reads and validates a settings file. The error is of type Errors if the file could be read but is invalid.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -127,35 +128,36 @@
 	return Parse(string(data))
 }
 
-// Parse reads and checks the text of a settings file.
+// Parse decodes and validates the text of a settings file. The error is of type Errors.
 func Parse(text string) (Settings, error) {
 	s := Default()
-	faults := Decode(text, &s)
-	faults = append(faults, s.validate()...)
-	if len(faults) > 0 {
-		return Settings{}, faults
+	errs := Decode(text, &s)
+	errs = append(errs, s.validate()...)
+	if len(errs) > 0 {
+		return Settings{}, errs
 	}
 	return s, nil
 }
 
-// Decode reads TOML into out and returns a fault for each syntax error and unknown key.
+// Decode decodes TOML into out. It returns an error if the text can't be decoded, and otherwise one
+// for each unknown key.
 func Decode(text string, out any) Errors {
 	meta, err := toml.Decode(text, out)
-	var perr toml.ParseError
-	if errors.As(err, &perr) {
-		return Errors{fmt.Sprintf("line %d: %s: %s", perr.Position.Line, perr.LastKey, perr.Message)}
+	var parseErr toml.ParseError
+	if errors.As(err, &parseErr) {
+		return Errors{fmt.Sprintf("line %d: %s: %s", parseErr.Position.Line, parseErr.LastKey, parseErr.Message)}
 	}
 	if err != nil {
 		return Errors{err.Error()}
 	}
-	var faults Errors
+	var errs Errors
 	for _, k := range meta.Undecoded() {
-		faults = append(faults, fmt.Sprintf("line %d: %s: unknown key", LineOfKey(text, k[len(k)-1]), k))
+		errs = append(errs, fmt.Sprintf("line %d: %s: unknown key", LineOfKey(text, k[len(k)-1]), k))
 	}
-	return faults
+	return errs
 }
 
-// LineOfKey returns the number of the first line of text on which word stands as a key or table, or 0.
+// LineOfKey returns the number of the first line of text on which word is a key or a table's name, or 0.
 func LineOfKey(text, word string) int {
 	for i, l := range strings.Split(text, "\n") {
 		l = strings.TrimLeft(l, " \t[")
@@ -168,18 +170,19 @@
 	return 0
 }
 
+// validate returns an error for each invalid value.
 func (s Settings) validate() Errors {
-	var f Errors
+	var errs Errors
 	for _, a := range []struct{ key, addr string }{
 		{"listen.caller", s.Listen.Caller}, {"listen.peer", s.Listen.Peer}, {"listen.admin", s.Listen.Admin},
 	} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			f = append(f, fmt.Sprintf("%s: %q is not host:port", a.key, a.addr))
+			errs = append(errs, fmt.Sprintf("%s: %q is not host:port", a.key, a.addr))
 		}
 	}
 	for _, a := range []struct{ key, url string }{{"store.url", s.Store.URL}, {"hosts.url", s.Hosts.URL}} {
 		if u, err := url.Parse(a.url); err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			f = append(f, fmt.Sprintf("%s: %q is not an http address", a.key, a.url))
+			errs = append(errs, fmt.Sprintf("%s: %q is not an http address", a.key, a.url))
 		}
 	}
 	for _, d := range []struct {
@@ -192,21 +195,22 @@
 		{"worker.lease", s.Worker.LeaseTTL}, {"worker.poll", s.Worker.PollInterval}, {"worker.fresh", s.Worker.MaxConfigAge},
 	} {
 		if d.d <= 0 {
-			f = append(f, fmt.Sprintf("%s: must be above 0, is %s", d.key, d.d))
+			errs = append(errs, fmt.Sprintf("%s: must be above 0, is %s", d.key, d.d))
 		}
 	}
 	if s.Store.LeaseTTL < 3*s.Store.Timeout {
-		f = append(f, "store.lease: must be at least three times store.timeout, or one slow call loses the lease")
+		errs = append(errs, "store.lease: must be at least three times store.timeout, or one slow call loses the lease")
 	}
 	if s.Limit.MaxRequestBytes <= 0 || s.Limit.MaxAnswerBytes <= 0 {
-		f = append(f, "limit.body, limit.answer: must be above 0")
+		errs = append(errs, "limit.body, limit.answer: must be above 0")
 	}
 	if s.Worker.Buckets < 1 || s.Worker.Buckets > maxBuckets {
-		f = append(f, fmt.Sprintf("worker.buckets: must be 1 to %d, is %d", maxBuckets, s.Worker.Buckets))
+		errs = append(errs, fmt.Sprintf("worker.buckets: must be 1 to %d, is %d", maxBuckets, s.Worker.Buckets))
 	}
-	return append(f, s.Log.validate()...)
+	return append(errs, s.Log.validate()...)
 }
 
+// validate returns an error if the level is unknown.
 func (l Log) validate() Errors {
 	switch l.Level {
 	case "debug", "info", "warn", "error":
--- a/internal/base/conf/conf_test.go
+++ b/internal/base/conf/conf_test.go
@@ -7,7 +7,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// The commented examples must be what the defaults say where they say the same.
+// The example settings files must be valid.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"association.toml", "wildheart.toml"} {
 		if _, err := Load("../../../examples/" + name); err != nil {
@@ -16,7 +16,7 @@
 	}
 }
 
-// Every mistake in a file must be named at once, unknown keys with their line.
+// All errors in a file must be reported together, those about unknown keys with their line.
 func TestErrors(t *testing.T) {
 	_, err := Parse(`name = "x"
 colour = "red"
@@ -34,17 +34,17 @@
 buckets = 0
 `)
 	if err == nil {
-		t.Fatal("it's accepted")
+		t.Fatal("Parse accepts an invalid file")
 	}
 	goldie.New(t).Assert(t, "faults", []byte(err.Error()))
 }
 
 func TestSyntax(t *testing.T) {
 	if _, err := Parse("name = \n"); err == nil {
-		t.Error("it's accepted")
+		t.Error("Parse accepts a syntax error")
 	}
 	if _, err := Load(os.DevNull + "/none"); err == nil {
-		t.Error("a file that isn't there is accepted")
+		t.Error("Load accepts a missing file")
 	}
 }
 
@@ -52,7 +52,7 @@
 	f.Add("[store]\nlease = \"1s\"")
 	f.Fuzz(func(t *testing.T, text string) {
 		if s, err := Parse(text); err == nil && s.Store.LeaseTTL < 3*s.Store.Timeout {
-			t.Error("a lease that one slow call loses is accepted")
+			t.Error("Parse accepts a store lease that one slow call loses")
 		}
 	})
 }
--- a/internal/base/conf/doc.go
+++ b/internal/base/conf/doc.go
@@ -1,2 +1,3 @@
-// Package conf reads and checks the settings of a process.
+// Package conf reads and validates the settings files of processes: Settings of an entry process,
+// HostSettings of a process on the platform.
 package conf
--- a/internal/base/conf/host.go
+++ b/internal/base/conf/host.go
@@ -9,56 +9,56 @@
 	"github.com/pkg/errors"
 )
 
-// HostSettings is what a process on the platform is told.
+// HostSettings holds all settings of a process on the platform.
 type HostSettings struct {
 	Name        string     `toml:"name"`
-	Zone        string     `toml:"zone"`
+	Zone        string     `toml:"zone"` // failure domain
 	Listen      HostListen `toml:"listen"`
 	Store       HostStore  `toml:"store"`
 	Bound       Bound      `toml:"bound"`
 	Limit       HostLimit  `toml:"limit"`
 	Log         Log        `toml:"log"`
-	MetricsAddr string     `toml:"metrics"` // host:port
+	MetricsAddr string     `toml:"metrics"` // host:port on which metrics are served
 }
 
 // HostListen holds the addresses (host:port) on which the process listens.
 type HostListen struct {
-	Caller string `toml:"caller"`
-	Ready  string `toml:"ready"`
-	Peer   string `toml:"peer"`
+	Caller string `toml:"caller"` // for callers' requests
+	Ready  string `toml:"ready"`  // for readiness probes
+	Peer   string `toml:"peer"`   // for calls of other processes
 }
 
-// HostStore says where the platform's key-value service is, and the shortest lease there.
+// HostStore describes the platform's key-value service.
 type HostStore struct {
-	Addr           string `toml:"addr"`
-	MinLeaseMillis int    `toml:"least"` // milliseconds
+	Addr           string `toml:"addr"`  // host:port
+	MinLeaseMillis int    `toml:"least"` // shortest TTL of a lease, in milliseconds
 }
 
-// Bound holds times that the operators promise or ask for, in milliseconds or, where the
-// name says so, seconds.
+// Bound holds time limits that the operators guarantee or require, in milliseconds or seconds
+// as the names say.
 type Bound struct {
-	MaxWorkerLeaseMillis int     `toml:"hold"`  // longest lease of what runs on a worker
-	MaxStopMillis        int     `toml:"stop"`  // longest time that a worker takes to stop a run
-	GraceSeconds         float64 `toml:"grace"` // seconds from SIGTERM to SIGKILL
-	JobRetentionSeconds  float64 `toml:"keep"`  // seconds for which an ended job is known
+	MaxWorkerLeaseMillis int     `toml:"hold"`  // longest lease of a worker's runs, in milliseconds
+	MaxStopMillis        int     `toml:"stop"`  // longest time that a worker takes to stop a run, in milliseconds
+	GraceSeconds         float64 `toml:"grace"` // time from SIGTERM to SIGKILL, in seconds
+	JobRetentionSeconds  float64 `toml:"keep"`  // how long the state of an ended job can be queried, in seconds
 }
 
-// HostLimit is what the machine gives the process; 0: not known.
+// HostLimit holds the resources that the machine gives the process. A value of 0 means unknown.
 type HostLimit struct {
-	CPUShare  float64 `toml:"share"`  // of a core
-	CoreSpeed float64 `toml:"cores"`  // how many times as fast as one core
-	MemoryMiB float64 `toml:"memory"` // MiB
-	MaxFiles  float64 `toml:"files"`  // open descriptors
-	LinkMbps  float64 `toml:"link"`   // Mbit/s
+	CPUShare  float64 `toml:"share"`  // CPU time, as a fraction of a core
+	CoreSpeed float64 `toml:"cores"`  // speed of the processor, in multiples of one core
+	MemoryMiB float64 `toml:"memory"` // memory, in MiB
+	MaxFiles  float64 `toml:"files"`  // number of open file descriptors
+	LinkMbps  float64 `toml:"link"`   // bandwidth of the network link, in Mbit/s
 }
 
-// Milliseconds returns n milliseconds.
+// Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Seconds returns s seconds.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// LoadHost reads and checks a settings file; the error is Faults when the file was read but is wrong.
+// LoadHost reads and validates a settings file. The error is of type Errors if the file could be read but is invalid.
 func LoadHost(path string) (HostSettings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -67,25 +67,26 @@
 	return ParseHost(string(data))
 }
 
-// ParseHost reads and checks the text of a settings file.
+// ParseHost decodes and validates the text of a settings file. The error is of type Errors.
 func ParseHost(text string) (HostSettings, error) {
 	h := HostSettings{Log: Log{"info"}}
-	faults := Decode(text, &h)
-	faults = append(faults, h.validate()...)
-	if len(faults) > 0 {
-		return HostSettings{}, faults
+	errs := Decode(text, &h)
+	errs = append(errs, h.validate()...)
+	if len(errs) > 0 {
+		return HostSettings{}, errs
 	}
 	return h, nil
 }
 
+// validate returns an error for each invalid value.
 func (h HostSettings) validate() Errors {
-	var f Errors
+	var errs Errors
 	for _, a := range []struct{ key, addr string }{
 		{"listen.caller", h.Listen.Caller}, {"listen.ready", h.Listen.Ready}, {"listen.peer", h.Listen.Peer},
 		{"store.addr", h.Store.Addr}, {"metrics", h.MetricsAddr},
 	} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			f = append(f, fmt.Sprintf("%s: %q is not host:port", a.key, a.addr))
+			errs = append(errs, fmt.Sprintf("%s: %q is not host:port", a.key, a.addr))
 		}
 	}
 	for _, b := range []struct {
@@ -96,7 +97,7 @@
 		{"bound.grace", h.Bound.GraceSeconds}, {"bound.keep", h.Bound.JobRetentionSeconds},
 	} {
 		if b.value <= 0 {
-			f = append(f, fmt.Sprintf("%s: must be above 0, is %v", b.key, b.value))
+			errs = append(errs, fmt.Sprintf("%s: must be above 0, is %v", b.key, b.value))
 		}
 	}
 	for _, l := range []struct {
@@ -107,11 +108,11 @@
 		{"limit.files", h.Limit.MaxFiles}, {"limit.link", h.Limit.LinkMbps},
 	} {
 		if !(l.value >= 0) {
-			f = append(f, fmt.Sprintf("%s: must not be below 0, is %v", l.key, l.value))
+			errs = append(errs, fmt.Sprintf("%s: must not be below 0, is %v", l.key, l.value))
 		}
 	}
 	if h.Name == "" {
-		f = append(f, "name: must not be empty")
+		errs = append(errs, "name: must not be empty")
 	}
-	return append(f, h.Log.validate()...)
+	return append(errs, h.Log.validate()...)
 }
--- a/internal/base/conf/host_test.go
+++ b/internal/base/conf/host_test.go
@@ -9,7 +9,7 @@
 	"bramleysail.example/bramleysail/internal/base/conf"
 )
 
-// The operators' settings file is wrong: each fault is named and nothing starts.
+// TestHost guards against an invalid settings file that is accepted, or whose error doesn't name the key.
 func TestHost(t *testing.T) {
 	good := "name = \"a\"\nmetrics = \"127.0.0.1:1\"\n[listen]\ncaller = \"127.0.0.1:2\"\nready = \"127.0.0.1:3\"\npeer = \"127.0.0.1:4\"\n" +
 		"[store]\naddr = \"127.0.0.1:5\"\nleast = 1000\n[bound]\nhold = 6000\nstop = 200\ngrace = 6\nkeep = 120\n" +
@@ -22,18 +22,19 @@
 		{"unknown key", `name = "a"`, "name = \"a\"\nnmae = 1", "nmae"},
 		{"zero", "hold = 6000", "hold = 0", "bound.hold"},
 		{"below zero", "memory = 284", "memory = -1", "limit.memory"},
-		{"no number", "link = 1000.0", "link = nan", "limit.link"},
+		{"not a number", "link = 1000.0", "link = nan", "limit.link"},
 		{"no name", `name = "a"`, `name = ""`, "name"},
-		{"no TOML", "hold = 6000", "hold = ", "hold"},
+		{"syntax error", "hold = 6000", "hold = ", "hold"},
 	} {
 		_, err := conf.ParseHost(strings.Replace(good, tt.from, tt.to, 1))
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
-			t.Errorf("%s: %v, want %q named", tt.name, err, tt.want)
+			t.Errorf("%s: error %v, want one that names %q", tt.name, err, tt.want)
 		}
 	}
 }
 
-// A key of the template that the settings don't know: no process starts on any host.
+// TestTemplate guards against a key in the deployment's template that the settings don't know, by which
+// no process would start on any host.
 func TestTemplate(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/host.toml.tmpl")
 	if err != nil {
