--- a/internal/base/conns/doc.go
+++ b/internal/base/conns/doc.go
@@ -1,2 +1,2 @@
-// Package conns bounds how many connections a process has open to others.
+// Package conns limits the number of outgoing connections that a process has open.
 package conns
--- a/internal/base/conns/limit.go
+++ b/internal/base/conns/limit.go
@@ -9,35 +9,35 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// DialFunc makes a connection, as net.Dialer.DialContext does.
+// DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// maxDialWait bounds the wait of a dial for another connection to be closed: short of the time that callers leave for
-// an answer, so that they are told that nothing was sent.
+// maxDialWait is how long a dial waits for another connection to be closed. It is less than the timeout of
+// callers' requests, so that callers still learn that nothing was sent.
 const maxDialWait = 400 * time.Millisecond
 
-// Limit bounds the connections that are open at a time, of all the dial functions that it has wrapped. When
-// there are as many, idle ones are closed, and a dial waits for its turn. It is safe for concurrent use; a nil Limit sets no
-// bound.
+// Limit limits the number of connections that are open at the same time, over all dial functions that it
+// wraps. When the limit is reached, idle connections are closed and further dials wait for a free slot. A Limit is
+// safe for concurrent use; a nil Limit allows any number.
 //
-// The failure it guards against: connections kept for later use take all of a process's descriptors. Its calls
-// fail then before they are sent, and nobody can connect to it.
+// The failure it guards against: idle connections kept for reuse take all file descriptors of the process. Its
+// own calls then fail before they are sent, and nobody can connect to it.
 type Limit struct {
-	slots *semaphore.Weighted
+	slots *semaphore.Weighted // one for each connection that may be open
 
 	mu          sync.Mutex
-	idleClosers []func()
+	idleClosers []func() // functions that close idle connections
 }
 
-// New returns a limit of most connections, nil if most isn't positive.
-func New(most int) *Limit {
-	if most <= 0 {
+// New returns a limit of maxConns connections, or nil if maxConns isn't positive.
+func New(maxConns int) *Limit {
+	if maxConns <= 0 {
 		return nil
 	}
-	return &Limit{slots: semaphore.NewWeighted(int64(most))}
+	return &Limit{slots: semaphore.NewWeighted(int64(maxConns))}
 }
 
-// AddIdleCloser has closeIdle called when the limit is reached.
+// AddIdleCloser registers a function that closes idle connections. It is called when the limit is reached.
 func (l *Limit) AddIdleCloser(closeIdle func()) {
 	if l == nil {
 		return
@@ -47,7 +47,8 @@
 	l.idleClosers = append(l.idleClosers, closeIdle)
 }
 
-// WrapDial returns dial within the limit. Where no connection is closed in time its error is a *net.OpError of a dial.
+// WrapDial returns a dial function that takes a slot of the limit for each connection. If no slot becomes free
+// in time, it returns a *net.OpError whose Op is "dial", as for a connection that couldn't be opened.
 func (l *Limit) WrapDial(dial DialFunc) DialFunc {
 	if l == nil {
 		return dial
@@ -65,6 +66,7 @@
 	}
 }
 
+// acquire takes a slot. If none is free, it closes idle connections and waits up to maxDialWait.
 func (l *Limit) acquire(ctx context.Context) error {
 	if l.slots.TryAcquire(1) {
 		return nil
@@ -75,22 +77,23 @@
 	return l.slots.Acquire(ctx, 1)
 }
 
+// closeIdleConns calls all registered functions that close idle connections.
 func (l *Limit) closeIdleConns() {
 	l.mu.Lock()
-	idle := l.idleClosers
+	closers := l.idleClosers
 	l.mu.Unlock()
-	for _, f := range idle {
-		f()
+	for _, closeIdle := range closers {
+		closeIdle()
 	}
 }
 
-// limitedConn gives its place in the limit back as it is closed.
+// limitedConn is a connection that frees its slot when it is closed.
 type limitedConn struct {
 	net.Conn
-	release func()
+	release func() // frees the slot
 }
 
-// Close closes the connection.
+// Close closes the connection and frees its slot.
 func (c *limitedConn) Close() error {
 	defer c.release()
 	return c.Conn.Close()
--- a/internal/base/conns/limit_test.go
+++ b/internal/base/conns/limit_test.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// newClient returns a newClient that keeps its connections, and how many of them are open.
+// newClient returns a client that keeps idle connections, and the number of its open connections.
 func newClient(l *Limit) (*http.Client, *atomic.Int64) {
 	var open atomic.Int64
 	tr := &http.Transport{MaxIdleConnsPerHost: 4}
@@ -28,17 +28,17 @@
 	return &http.Client{Transport: tr}, &open
 }
 
-// TestIdleConnsClosedAtLimit guards against idle connections that take all of a process's descriptors, so that
-// calls of other peers fail.
+// TestIdleConnsClosedAtLimit guards against idle connections that take all file descriptors of a process, so that
+// calls to other peers fail.
 func TestIdleConnsClosedAtLimit(t *testing.T) {
-	const most, peers = 3, 10
+	const maxConns, peers = 3, 10
 	for _, tt := range []struct {
 		name  string
 		limit *Limit
-		want  int64 // connections open at the end, at most
+		want  int64 // largest allowed number of open connections
 	}{
-		{"bound", New(most), most},
-		{"no bound", New(0), peers},
+		{"limit", New(maxConns), maxConns},
+		{"no limit", New(0), peers},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c, open := newClient(tt.limit)
@@ -51,14 +51,15 @@
 				}
 				_ = resp.Body.Close()
 				if got := open.Load(); got > tt.want {
-					t.Fatalf("%d connections open, want %d at most", got, tt.want)
+					t.Fatalf("%d connections open, want at most %d", got, tt.want)
 				}
 			}
 		})
 	}
 }
 
-// TestDialBeyondLimit checks that a dial without a place says that nothing was sent, and that a closed connection gives its place back once.
+// TestDialBeyondLimit checks that a dial without a free slot fails with an error that shows that nothing was sent,
+// and that a connection frees its slot only once.
 func TestDialBeyondLimit(t *testing.T) {
 	l := New(1)
 	dial := l.WrapDial(func(context.Context, string, string) (net.Conn, error) {
@@ -70,15 +71,15 @@
 		t.Fatal(err)
 	}
 	_, err = dial(t.Context(), "tcp", "")
-	var op *net.OpError
-	if !errors.As(err, &op) || op.Op != "dial" {
-		t.Errorf("a dial beyond the limit: %v, want an error of a dial", err)
+	var opErr *net.OpError
+	if !errors.As(err, &opErr) || opErr.Op != "dial" {
+		t.Errorf("dial beyond the limit: %v, want a *net.OpError with Op \"dial\"", err)
 	}
 	_, _ = first.Close(), first.Close()
 	if _, err := dial(t.Context(), "tcp", ""); err != nil {
-		t.Errorf("after a close: %v", err)
+		t.Errorf("dial after a connection was closed: %v", err)
 	}
 	if _, err := dial(t.Context(), "tcp", ""); err == nil {
-		t.Error("closed twice, a connection has given two places back")
+		t.Error("a connection that was closed twice has freed two slots")
 	}
 }
