--- a/internal/base/telem/asyncwriter.go
+++ b/internal/base/telem/asyncwriter.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// AsyncWriter is a writer of log lines that never blocks its callers: lines wait in a queue of
-// bounded length, and those that find it full are dropped, counted, and told about later.
+// AsyncWriter is a writer of log lines that never blocks its callers. Lines wait in a queue of
+// bounded length. When the queue is full, lines are dropped; their number is logged later.
 type AsyncWriter struct {
-	queue     chan []byte
-	dropped   atomic.Int64
-	closing   chan struct{}
-	done      chan struct{}
+	queue     chan []byte   // lines to write
+	dropped   atomic.Int64  // lines dropped since the last line that logged their number
+	closing   chan struct{} // closed by Close, so that the write loop doesn't wait any longer
+	done      chan struct{} // closed when the write loop has ended
 	closeOnce sync.Once
 }
 
 const (
-	// queueLength is how many lines may wait: a second's worth on a busy day.
+	// queueLength is how many lines may wait: those of one second under high load.
 	queueLength = 2000
-	// flushInterval is how long lines are gathered to be written together.
+	// flushInterval is how long lines are collected to be written together.
 	flushInterval = 20 * time.Millisecond
 )
 
-// NewAsyncWriter returns a writer to w; Close writes what waits.
+// NewAsyncWriter returns a writer that writes lines to w in the background until Close.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	l := &AsyncWriter{queue: make(chan []byte, queueLength), closing: make(chan struct{}), done: make(chan struct{})}
 	go l.writeLoop(w)
 	return l
 }
 
-// Write takes one line; it always succeeds.
+// Write queues one line, or drops it if the queue is full. It never returns an error.
 func (l *AsyncWriter) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -44,7 +44,7 @@
 	return len(p), nil
 }
 
-// Close writes the lines that wait and ends the writer. Nothing may be written after it.
+// Close writes the queued lines and ends the background writing. Write must not be called after it.
 func (l *AsyncWriter) Close() error {
 	l.closeOnce.Do(func() {
 		close(l.closing)
@@ -54,6 +54,7 @@
 	return nil
 }
 
+// writeLoop writes queued lines until the queue is closed. It flushes whenever the queue is empty.
 func (l *AsyncWriter) writeLoop(w io.Writer) {
 	defer close(l.done)
 	b := bufio.NewWriter(w)
@@ -61,7 +62,7 @@
 		if n := l.dropped.Swap(0); n > 0 {
 			fmt.Fprintf(b, "level=WARN msg=\"log lines dropped\" count=%d\n", n)
 		}
-		_, _ = b.Write(line) // there is nowhere to tell of a log that can't be written
+		_, _ = b.Write(line) // a failure to write the log can't be reported anywhere
 		if len(l.queue) == 0 {
 			_ = b.Flush()
 			select {
--- a/internal/base/telem/doc.go
+++ b/internal/base/telem/doc.go
@@ -1,2 +1,2 @@
-// Package telem sets up what a process tells of itself: logs, metrics and traces.
+// Package telem sets up the telemetry of a process: logs, metrics and traces.
 package telem
--- a/internal/base/telem/telem.go
+++ b/internal/base/telem/telem.go
@@ -23,7 +23,8 @@
 	api "go.opentelemetry.io/otel/trace"
 )
 
-// NewLogger returns a logger that writes one key=value line an event to w.
+// NewLogger returns a logger that writes one line of key=value pairs for each event to w. An unknown
+// level counts as info.
 func NewLogger(w io.Writer, level string) logr.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -32,11 +33,11 @@
 	return logr.FromSlogHandler(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l}))
 }
 
-// reportInterval is how often metrics pass from their scope to the endpoint.
+// reportInterval is how often the values of metrics are passed from the scope to the metrics endpoint.
 const reportInterval = time.Second
 
-// NewMetrics returns a root scope with a registry of its own, the handler that shows it in the usual text
-// format, and a closer.
+// NewMetrics returns a root scope with its own registry, the handler that serves the metrics in the Prometheus
+// text format, and a closer of the scope.
 func NewMetrics() (tally.Scope, http.Handler, io.Closer) {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -49,25 +50,27 @@
 	return scope, promhttp.HandlerFor(reg, promhttp.HandlerOpts{}), closer
 }
 
-// Tracer returns the process's tracer; its spans go nowhere until StartTraces is called.
+// Tracer returns the process's tracer. Its spans are discarded until StartTracing is called.
 func Tracer() api.Tracer {
 	return otel.Tracer("bramleysail")
 }
 
+// propagator encodes span contexts as W3C Trace Context headers.
 var propagator = propagation.TraceContext{}
 
-// InjectSpan writes ctx's span into the headers of the next hop.
+// InjectSpan writes the context of ctx's span into the headers of a request to the next hop.
 func InjectSpan(ctx context.Context, h http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// ExtractSpan returns ctx with the span that the previous hop wrote into h.
+// ExtractSpan returns ctx with the span context that the previous hop wrote into the headers.
 func ExtractSpan(ctx context.Context, h http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// StartTracing sends spans to the OTLP/HTTP collector at url and returns the
-// function that flushes and ends it; an empty url changes nothing.
+// StartTracing starts the export of spans to the OTLP/HTTP collector at url, as spans of the process
+// with the given name. It returns a function that flushes the spans and ends the export. With an
+// empty url it does nothing.
 func StartTracing(ctx context.Context, url, name string) (func(context.Context) error, error) {
 	if url == "" {
 		return func(context.Context) error { return nil }, nil
