--- a/internal/base/wait/doc.go
+++ b/internal/base/wait/doc.go
@@ -1,2 +1,2 @@
-// Package wait pauses for a time that ends early with a context, and wakes who waits.
+// Package wait provides pauses that end early with a context, and wake-ups of waiting goroutines.
 package wait
--- a/internal/base/wait/wait.go
+++ b/internal/base/wait/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx lasted that long. A d of zero or less is over at once.
+// For waits for d or until ctx ends, and reports whether ctx has not ended. It doesn't wait if d is zero or less.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -20,7 +20,8 @@
 	}
 }
 
-// Wake wakes whoever waits on c, a channel with room for one, or has it woken as it next waits; it never blocks.
+// Wake wakes the goroutine that receives from c. If none is waiting, the next receive returns at once. Wake
+// never blocks. The capacity of c must be 1.
 func Wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/base/wait/wait_test.go
+++ b/internal/base/wait/wait_test.go
@@ -12,23 +12,23 @@
 
 func TestFor(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		over bool // the context is
-		d    time.Duration
-		want bool
+		name     string
+		ctxEnded bool
+		d        time.Duration
+		want     bool
 	}{
 		{"future", false, time.Millisecond, true},
 		{"now", false, 0, true},
 		{"past", false, -time.Second, true},
-		{"future, context over", true, time.Hour, false},
-		{"now, context over", true, 0, false},
-		{"past, context over", true, -time.Second, false},
+		{"future, context ended", true, time.Hour, false},
+		{"now, context ended", true, 0, false},
+		{"past, context ended", true, -time.Second, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				if tt.over {
+				if tt.ctxEnded {
 					cancel()
 				}
 				if got := wait.For(ctx, tt.d); got != tt.want {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestForPastByMany guards against expired timers in a bubble: goroutines that select on them at
-// the same time crash the race detector's runtime.
+// TestForPastByMany guards against expired timers in a synctest bubble: goroutines that select on such
+// timers at the same time crash the race detector's runtime.
 func TestForPastByMany(t *testing.T) {
 	const goroutines = 200
 	synctest.Test(t, func(t *testing.T) {
