--- a/internal/proc/front/doc.go
+++ b/internal/proc/front/doc.go
@@ -1,3 +1,3 @@
-// Package front is an entry process on the platform: it takes callers' requests, passes them
-// to the holder, and is the holder when the store says so.
+// Package front implements an entry process: it receives callers' requests and forwards them to the holder. It also
+// claims to be the holder when there is none, and runs the scheduler while it is.
 package front
--- a/internal/proc/front/forward.go
+++ b/internal/proc/front/forward.go
@@ -15,143 +15,151 @@
 	"bramleysail.example/bramleysail/internal/peer/link"
 )
 
-// Forwarder answers callers' requests through whoever holds.
+// Forwarder answers callers' requests if this process is the holder, and forwards them to the holder otherwise.
 type Forwarder struct {
 	log     logr.Logger
-	scope   tally.Scope
-	elector *lead.Elector
-	links   link.Set
-	monitor *peerMonitor
-	name    string
+	scope   tally.Scope   // of the metrics
+	elector *lead.Elector // knows who the holder is
+	links   link.Set      // connections to other entry processes
+	monitor *peerMonitor  // knows whether this process is isolated
+	name    string        // of this process
 
 	mu            sync.Mutex
-	holder        *drive.Holder // this process's own, while it holds
-	newestVersion int64         // newest configuration that an answer was based on
+	holder        *drive.Holder // set while this process is the holder
+	newestVersion int64         // newest version of the configuration that an answer was based on
 }
 
-// defaultRequestTimeout bounds a request that came without a deadline.
+// defaultRequestTimeout limits the handling of a request that was forwarded by another process, without a deadline.
 const defaultRequestTimeout = 3 * time.Second
 
-// Handle answers a request from here or, if another process holds, from there.
-func (d *Forwarder) Handle(ctx context.Context, a drive.Request) drive.Reply {
+// Handle answers a caller's request, by forwarding it if another process is the holder.
+func (f *Forwarder) Handle(ctx context.Context, req drive.Request) drive.Reply {
 	began := time.Now()
-	rep := d.answerFromNewestConfig(ctx, a, d.forward)
-	d.recordAnswer(a, rep, time.Since(began))
+	rep := f.answerFromNewestConfig(ctx, req, f.forward)
+	f.recordAnswer(req, rep, time.Since(began))
 	return rep
 }
 
-// answerFromNewestConfig has a request answered by the answerFromNewestConfig configuration that an answer from here was based on.
+// answerFromNewestConfig calls forward until the answer is based on a configuration that isn't older than that of an
+// earlier answer of this process.
 //
-// The failure it guards against: a former holder that doesn't know it has been replaced would
-// take a configuration back. An older one also shows in the answer to a request that was on its
-// way to the store as the configuration changed; ended as of unknown outcome, that job was
-// lost to its caller. Asked again, whoever holds now answers for what it has stored.
-func (d *Forwarder) answerFromNewestConfig(ctx context.Context, a drive.Request, pass func(context.Context, drive.Request) drive.Reply) drive.Reply {
-	rep := pass(ctx, a)
-	carried := false // it may have been, by an answer that was based on an older configuration
-	for d.isOlderVersion(rep.Version) {
-		carried = carried || a.Verb != drive.VerbState && (rep.Result == drive.ResultDone || rep.Result == drive.ResultUnknown)
+// Otherwise, a former holder that doesn't know that it has been replaced would answer from an older configuration, as
+// if a change had been undone. The answer to a request that was being stored while the configuration changed is based
+// on the older configuration, too. If its outcome were reported as unknown, the caller would lose track of a stored
+// job; on a retry the current holder answers according to what is stored.
+func (f *Forwarder) answerFromNewestConfig(ctx context.Context, req drive.Request, forward func(context.Context, drive.Request) drive.Reply) drive.Reply {
+	rep := forward(ctx, req)
+	mayBeDone := false // the request may have been carried out, by an answer based on an older configuration
+	for f.isOlderVersion(rep.Version) {
+		mayBeDone = mayBeDone || req.Verb != drive.VerbState && (rep.Result == drive.ResultDone || rep.Result == drive.ResultUnknown)
 		if !wait.For(ctx, retryInterval) {
 			rep = drive.RefusedReply("answer of a former holder", drive.RetryAfterHolderChange)
 			break
 		}
-		rep = pass(ctx, a)
+		rep = forward(ctx, req)
 	}
-	if carried && rep.Result != drive.ResultDone {
+	if mayBeDone && rep.Result != drive.ResultDone {
 		return drive.Reply{Result: drive.ResultUnknown, Why: "answered by an older configuration"}
 	}
 	return rep
 }
 
-// recordAnswer logs an answer that a caller may ask about: any that isn't what was asked for.
-func (d *Forwarder) recordAnswer(a drive.Request, rep drive.Reply, took time.Duration) {
-	d.scope.Tagged(map[string]string{"verb": string(a.Verb), "result": string(rep.Result)}).Counter("answers").Inc(1)
-	d.scope.Tagged(map[string]string{"verb": string(a.Verb)}).Histogram("answer_time", answerTimeBuckets).RecordDuration(took)
+// recordAnswer counts an answer in the metrics and logs it unless the request succeeded, as callers ask why it didn't.
+func (f *Forwarder) recordAnswer(req drive.Request, rep drive.Reply, took time.Duration) {
+	f.scope.Tagged(map[string]string{"verb": string(req.Verb), "result": string(rep.Result)}).Counter("answers").Inc(1)
+	f.scope.Tagged(map[string]string{"verb": string(req.Verb)}).Histogram("answer_time", answerTimeBuckets).RecordDuration(took)
 	switch rep.Result {
 	case drive.ResultRefused, drive.ResultUnknown, drive.ResultBad, drive.ResultNoJob:
-		d.log.Info("answer", "verb", a.Verb, "path", a.Path, "result", rep.Result, "why", rep.Why, "version", rep.Version, "took", took)
+		f.log.Info("answer", "verb", req.Verb, "path", req.Path, "result", rep.Result, "why", rep.Why, "version", rep.Version, "took", took)
 	}
 }
 
-// answerTimeBuckets are the bounds of the histogram of answers: from within one host to the longest deadline.
+// answerTimeBuckets are the bucket bounds of the histogram of answer times. They range from an answer within the same
+// host to the longest deadline.
 var answerTimeBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 13)
 
-func (d *Forwarder) isOlderVersion(version int64) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if version == 0 || version >= d.newestVersion {
-		d.newestVersion = max(version, d.newestVersion)
+// isOlderVersion reports whether a version of the configuration is older than that of an earlier answer, and stores it
+// if it is newer. Version 0, of an answer that isn't based on a configuration, is never older.
+func (f *Forwarder) isOlderVersion(version int64) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if version == 0 || version >= f.newestVersion {
+		f.newestVersion = max(version, f.newestVersion)
 		return false
 	}
 	return true
 }
 
-// forward has the holder answer. A holder that falls silent may have carried the request out; as
-// every request is idempotent by its job's id, the next holder is asked then.
+// forward sends a request to the holder and returns its answer. If the holder stops responding, it may have carried out
+// the request; as every request is idempotent by its job's id, it is then sent again, to the next holder once there is
+// one.
 //
-// The failure it guards against: a host without power doesn't reset connections, and every
-// request sent to it would hang until its deadline and end without a known outcome.
+// A host that loses power doesn't reset its connections. Without the retry, every request sent to it would hang until
+// its deadline and end with an unknown outcome.
 //
-// Where the store is silent too, no next holder can come, and the caller is told at once.
-func (d *Forwarder) forward(ctx context.Context, a drive.Request) drive.Reply {
-	sent := false
+// If the store doesn't answer either, there can be no next holder, and forward returns at once.
+func (f *Forwarder) forward(ctx context.Context, req drive.Request) drive.Reply {
+	answerLost := false
 	for {
-		holder, changed := d.elector.Holder()
-		away, isAway := d.monitor.isolation()
-		if isAway && d.localHolder() == nil {
-			if !sent {
+		holder, changed := f.elector.Holder()
+		isolatedCh, isolated := f.monitor.isolation()
+		if isolated && f.localHolder() == nil {
+			if !answerLost {
 				return drive.RefusedReply(reasonIsolated, drive.RetryAfterHolderChange)
 			}
-			return unknownOutcomeReply(a, reasonIsolated)
+			return unknownOutcomeReply(req, reasonIsolated)
 		}
-		rep, err := d.callHolder(ctx, holder, changed, away, a)
+		rep, err := f.callHolder(ctx, holder, changed, isolatedCh, req)
 		switch {
-		case err == nil && !(sent && rep.Result == drive.ResultRefused):
+		case err == nil && !(answerLost && rep.Result == drive.ResultRefused):
 			return rep
 		case errors.Is(err, link.ErrAnswerLost):
-			sent = true
-			d.log.Info("no answer from holder", "holder", holder.Name, "path", a.Path, "cause", err.Error())
-		case !sent && err != nil:
+			answerLost = true
+			f.log.Info("no answer from holder", "holder", holder.Name, "path", req.Path, "cause", err.Error())
+		case !answerLost && err != nil:
 			return drive.RefusedReply(err.Error(), drive.RetryAfterHolderChange)
 		}
-		// The outcome of what was sent is open: only a holder that has read the store knows it.
+		// A call got no answer, so the outcome of the request is unknown until a holder that has read the store
+		// answers.
 		select {
 		case <-ctx.Done():
 			if errors.Is(ctx.Err(), context.Canceled) {
-				return unknownOutcomeReply(a, "caller left")
+				return unknownOutcomeReply(req, "caller left")
 			}
-			return unknownOutcomeReply(a, "holder doesn't answer")
+			return unknownOutcomeReply(req, "holder doesn't answer")
 		case <-changed:
-		case <-away:
+		case <-isolatedCh:
 		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// retryInterval is between two tries to learn what became of a request.
+// retryInterval is the pause between two attempts to get an answer to a request.
 const retryInterval = 100 * time.Millisecond
 
-// unknownOutcomeReply is the reply for a request whose outcome isn't known.
-func unknownOutcomeReply(a drive.Request, why string) drive.Reply {
-	if a.Verb == drive.VerbState {
+// unknownOutcomeReply returns the reply to a request whose outcome isn't known. A request for a job's state changes
+// nothing, so it is refused.
+func unknownOutcomeReply(req drive.Request, why string) drive.Reply {
+	if req.Verb == drive.VerbState {
 		return drive.RefusedReply(why, drive.RetryAfterHolderChange)
 	}
 	return drive.Reply{Result: drive.ResultUnknown, Why: why}
 }
 
-// reasonIsolated is why nobody can answer a request here.
+// reasonIsolated is the reason given in replies while this process is isolated.
 const reasonIsolated = "neither holder nor store answers"
 
-// errNoHolder says that no process is known to hold.
+// errNoHolder means that no holder is known, or that a peer that was called as the holder isn't the holder.
 var errNoHolder = errors.New("front: no holder")
 
-// callHolder asks one holder, until it answers, another takes its place or there can be no answer; link.ErrLost says
-// that the request may have been carried out.
-func (d *Forwarder) callHolder(ctx context.Context, holder lead.Holder, changed, away <-chan struct{}, a drive.Request) (drive.Reply, error) {
-	if h := d.localHolder(); h != nil {
-		return h.Handle(ctx, a), nil
+// callHolder sends a request to the given holder, or to this process's own. It waits until the holder answers, changed
+// is closed because there is another holder, or isolatedCh is closed. link.ErrAnswerLost means that the request may
+// have been carried out.
+func (f *Forwarder) callHolder(ctx context.Context, holder lead.Holder, changed, isolatedCh <-chan struct{}, req drive.Request) (drive.Reply, error) {
+	if h := f.localHolder(); h != nil {
+		return h.Handle(ctx, req), nil
 	}
-	if holder.Name == "" || holder.Name == d.name {
+	if holder.Name == "" || holder.Name == f.name {
 		return drive.Reply{}, errNoHolder
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -160,34 +168,36 @@
 		select {
 		case <-changed:
 			cancel()
-		case <-away:
+		case <-isolatedCh:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	return link.Call[drive.Request, drive.Reply](ctx, d.links.Get(holder.Addr), "Peer.Handle", a)
+	return link.Call[drive.Request, drive.Reply](ctx, f.links.Get(holder.Addr), "Peer.Handle", req)
 }
 
-func (d *Forwarder) localHolder() *drive.Holder {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.holder
+// localHolder returns this process's drive.Holder, or nil if this process isn't the holder.
+func (f *Forwarder) localHolder() *drive.Holder {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.holder
 }
 
-func (d *Forwarder) setLocalHolder(h *drive.Holder) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.holder = h
+// setLocalHolder sets this process's drive.Holder, or nil when this process is no longer the holder.
+func (f *Forwarder) setLocalHolder(h *drive.Holder) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.holder = h
 }
 
-// Peer is what entry processes ask of each other, over net/rpc.
+// Peer has the methods that entry processes call on each other over net/rpc.
 type Peer struct {
-	forwarder *Forwarder
-	monitor   *peerMonitor
+	forwarder *Forwarder   // has this process's drive.Holder
+	monitor   *peerMonitor // records the followers
 }
 
-// Handle answers a request that another entry process took.
-func (p *Peer) Handle(a drive.Request, rep *drive.Reply) error {
+// Handle answers a request that another entry process has forwarded. It refuses it if this process isn't the holder.
+func (p *Peer) Handle(req drive.Request, rep *drive.Reply) error {
 	h := p.forwarder.localHolder()
 	if h == nil {
 		*rep = drive.RefusedReply("no longer the holder", drive.RetryAfterHolderChange)
@@ -195,18 +205,18 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), defaultRequestTimeout)
 	defer cancel()
-	*rep = h.Handle(ctx, a)
+	*rep = h.Handle(ctx, req)
 	return nil
 }
 
-// Alive tells whether this process holds; the argument isn't used.
-func (p *Peer) Alive(_ int, yes *bool) error {
-	*yes = p.forwarder.localHolder() != nil
+// Alive reports whether this process is the holder. The argument isn't used.
+func (p *Peer) Alive(_ int, isHolder *bool) error {
+	*isHolder = p.forwarder.localHolder() != nil
 	return nil
 }
 
-// Follow tells the holder that the process with a peer interface at addr follows it; the error
-// says that this one doesn't hold.
+// Follow records a heartbeat of the follower whose peer interface is at addr. It returns an error if this process isn't
+// the holder.
 func (p *Peer) Follow(addr string, _ *int) error {
 	if p.forwarder.localHolder() == nil {
 		return errNoHolder
@@ -215,21 +225,21 @@
 	return nil
 }
 
-// FollowerStatus is what a process tells the holder when this doesn't reach the store, or carries less
-// than its workers.
+// FollowerStatus is a follower's answer to a holder that doesn't reach the store, or that has more workers than it has
+// capacity for.
 type FollowerStatus struct {
-	Failing bool  // the store doesn't answer here either
-	Term    int64 // of the newest holder known
-	Carries int   // how many workers this process would hold; 0: not known, or none
+	Failing bool  // the store doesn't answer the follower either
+	Term    int64 // of the newest holder that the follower knows of
+	Carries int   // how many workers the follower would handle as the holder; 0: not known, or none because it is stopping
 }
 
-// Outlook tells how the store looks from here; the argument isn't used.
-func (p *Peer) Outlook(_ int, out *FollowerStatus) error {
+// Outlook reports this process's status as a follower. The argument isn't used.
+func (p *Peer) Outlook(_ int, status *FollowerStatus) error {
 	ctx, cancel := context.WithTimeout(context.Background(), storeProbeTimeout)
 	defer cancel()
-	out.Failing = !p.forwarder.elector.ProbeStore(ctx)
+	status.Failing = !p.forwarder.elector.ProbeStore(ctx)
 	h, _ := p.forwarder.elector.Holder()
-	out.Term = h.Term
-	out.Carries = p.monitor.capacity()
+	status.Term = h.Term
+	status.Carries = p.monitor.capacity()
 	return nil
 }
--- a/internal/proc/front/forward_test.go
+++ b/internal/proc/front/forward_test.go
@@ -9,40 +9,40 @@
 	"bramleysail.example/bramleysail/internal/batch/drive"
 )
 
-// A shop hands a book in; while it's on its way to the store, operators change the configuration,
-// and another answer of the same host is based on the new one. The book's own answer comes as of
-// the old one. It is stored, so the shop has to hear so, and not that nobody knows. A former
-// holder's word alone is never passed on.
+// A job is submitted. While it is being stored, operators change the configuration, and another answer of the same
+// process is based on the new one; the job's own answer is still based on the old one. As the job is stored, the caller
+// must be told that the submission succeeded, not that its outcome is unknown. An answer that only a former holder has
+// given is never returned.
 func TestAnswerFromNewestConfig(t *testing.T) {
 	done := func(v int64) drive.Reply { return drive.Reply{Result: drive.ResultDone, Version: v} }
 	for _, tt := range []struct {
 		name    string
 		verb    drive.Verb
-		replies []drive.Reply // the last one is given again and again
+		replies []drive.Reply // the last one is repeated
 		want    drive.Result
 	}{
-		{"newest at once", drive.VerbSubmit, []drive.Reply{done(6)}, drive.ResultDone},
-		{"stored, then known", drive.VerbSubmit, []drive.Reply{done(3), done(6)}, drive.ResultDone},
-		{"a former holder only", drive.VerbSubmit, []drive.Reply{done(3)}, drive.ResultUnknown},
-		{"stored, then the queue is gone", drive.VerbSubmit, []drive.Reply{done(3), {Result: drive.ResultNoQueue, Version: 6}}, drive.ResultUnknown},
-		{"refused, then the queue is gone", drive.VerbSubmit, []drive.Reply{{Result: drive.ResultRefused, Version: 3}, {Result: drive.ResultNoQueue, Version: 6}}, drive.ResultNoQueue},
-		{"no queue then, and none now", drive.VerbSubmit, []drive.Reply{{Result: drive.ResultNoQueue, Version: 3}, {Result: drive.ResultNoQueue, Version: 6}}, drive.ResultNoQueue},
-		{"state, then the newest", drive.VerbState, []drive.Reply{{Result: drive.ResultNoJob, Version: 3}, {Result: drive.ResultState, Version: 6}}, drive.ResultState},
-		{"state of a former holder only", drive.VerbState, []drive.Reply{{Result: drive.ResultNoJob, Version: 3}}, drive.ResultRefused},
+		{"newest configuration at once", drive.VerbSubmit, []drive.Reply{done(6)}, drive.ResultDone},
+		{"stored, then confirmed by the current holder", drive.VerbSubmit, []drive.Reply{done(3), done(6)}, drive.ResultDone},
+		{"former holder only", drive.VerbSubmit, []drive.Reply{done(3)}, drive.ResultUnknown},
+		{"stored, then the queue is deleted", drive.VerbSubmit, []drive.Reply{done(3), {Result: drive.ResultNoQueue, Version: 6}}, drive.ResultUnknown},
+		{"refused, then the queue is deleted", drive.VerbSubmit, []drive.Reply{{Result: drive.ResultRefused, Version: 3}, {Result: drive.ResultNoQueue, Version: 6}}, drive.ResultNoQueue},
+		{"no queue in either configuration", drive.VerbSubmit, []drive.Reply{{Result: drive.ResultNoQueue, Version: 3}, {Result: drive.ResultNoQueue, Version: 6}}, drive.ResultNoQueue},
+		{"state from an older, then from the newest configuration", drive.VerbState, []drive.Reply{{Result: drive.ResultNoJob, Version: 3}, {Result: drive.ResultState, Version: 6}}, drive.ResultState},
+		{"state from a former holder only", drive.VerbState, []drive.Reply{{Result: drive.ResultNoJob, Version: 3}}, drive.ResultRefused},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &Forwarder{newestVersion: 6}
+				f := &Forwarder{newestVersion: 6}
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
-				n := 0
-				got := d.answerFromNewestConfig(ctx, drive.Request{Verb: tt.verb}, func(context.Context, drive.Request) drive.Reply {
-					rep := tt.replies[min(n, len(tt.replies)-1)]
-					n++
+				calls := 0
+				got := f.answerFromNewestConfig(ctx, drive.Request{Verb: tt.verb}, func(context.Context, drive.Request) drive.Reply {
+					rep := tt.replies[min(calls, len(tt.replies)-1)]
+					calls++
 					return rep
 				})
 				if got.Result != tt.want {
-					t.Errorf("%+v after %d answers, want %s", got, n, tt.want)
+					t.Errorf("got %+v after %d answers, want result %s", got, calls, tt.want)
 				}
 			})
 		})
