--- a/internal/proc/front/process.go
+++ b/internal/proc/front/process.go
@@ -22,198 +22,204 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// Adapters is how the platform is met: whatever has names and formats of its own.
+// Adapters holds the parts of an entry process that depend on the platform: clients, and names and formats of its
+// interfaces.
 type Adapters struct {
-	Store            store.TxnStore
-	WorkerClient     drive.WorkerClient
-	Codec            drive.Codec
-	CallerHandler    func(*Forwarder) http.Handler
-	ReadinessHandler func(ready func() bool) http.Handler
-	// TimeComputation times a fixed computation on the machine; nil: one that is built in.
+	Store            store.TxnStore                       // client of the store
+	WorkerClient     drive.WorkerClient                   // sends polls and orders to workers
+	Codec            drive.Codec                          // decodes the platform's entries in the store
+	CallerHandler    func(*Forwarder) http.Handler        // returns the HTTP handler of callers' requests
+	ReadinessHandler func(ready func() bool) http.Handler // returns the HTTP handler of readiness checks
+	// TimeComputation times a fixed computation on the machine. If it is nil, a built-in one is used.
 	TimeComputation func() time.Duration
 }
 
-// Process is one entry process; Start makes one and Stop ends it gracefully.
+// Process is one entry process. It is created by Start and ended by Stop.
 type Process struct {
 	settings   conf.HostSettings
 	adapters   Adapters
 	log        logr.Logger
-	elector    *lead.Elector
-	forwarder  *Forwarder
-	monitor    *peerMonitor
-	speed      speedMonitor
-	callerAddr string // of the callers' listener
-
-	metricsHandler     http.Handler
-	metricsCloser      io.Closer
-	peerServer         *link.Server
-	httpServers        []*http.Server
-	listenerFailed     chan struct{}
-	listenerFailedOnce sync.Once
-	stopping           atomic.Bool
-	tenure             atomic.Pointer[lead.Tenure]
-	lastHandover       atomic.Pointer[time.Time] // when this process last handed over; nil: never
-	cancel             context.CancelFunc
-	wg                 sync.WaitGroup
+	elector    *lead.Elector // claims to be the holder and knows who is
+	forwarder  *Forwarder    // answers callers' requests
+	monitor    *peerMonitor  // exchanges heartbeats and status with the other entry processes
+	speed      speedMonitor  // measures the machine's slowdown
+	callerAddr string        // of the callers' listener
+
+	metricsHandler     http.Handler                // serves the metrics
+	metricsCloser      io.Closer                   // closes the scope of the metrics
+	peerServer         *link.Server                // serves the calls of other entry processes
+	httpServers        []*http.Server              // of callers, readiness checks and metrics
+	listenerFailed     chan struct{}               // closed when an HTTP listener fails
+	listenerFailedOnce sync.Once                   // guards the closing of listenerFailed
+	stopping           atomic.Bool                 // set once Stop is called
+	tenure             atomic.Pointer[lead.Tenure] // nil: this process isn't the holder
+	lastHandover       atomic.Pointer[time.Time]   // when this process last handed over; nil: never
+	cancel             context.CancelFunc          // ends the elector, the heartbeats and the speed checks
+	wg                 sync.WaitGroup              // of all goroutines of the process
 }
 
 const (
-	// drainDelay is how long requests are taken after SIGTERM: the balancer asks every second
-	// and needs two misses.
+	// drainDelay is how long requests are still accepted after SIGTERM. The load balancer checks readiness every second
+	// and removes a host after two failed checks.
 	drainDelay = 2500 * time.Millisecond
-	// aliveTimeout bounds the question whether a former holder is at work.
-	aliveTimeout      = 200 * time.Millisecond
+	// aliveTimeout limits the call that asks a former holder whether it is running.
+	aliveTimeout = 200 * time.Millisecond
+	// idleTimeout and readHeaderTimeout are the timeouts of the HTTP servers.
 	idleTimeout       = time.Minute
 	readHeaderTimeout = 3 * time.Second
 )
 
-// Start listens and serves; the error names the listener that could not be had.
-func Start(set conf.HostSettings, out Adapters, log logr.Logger) (*Process, error) {
-	h := &Process{settings: set, adapters: out, log: log, speed: speedMonitor{timeComputation: out.TimeComputation}, listenerFailed: make(chan struct{})}
-	if out.TimeComputation == nil {
-		h.speed.timeComputation = timeFixedComputation
+// Start starts an entry process with the given settings. It returns an error if an address of the settings can't be
+// listened on.
+func Start(settings conf.HostSettings, adapters Adapters, log logr.Logger) (*Process, error) {
+	p := &Process{settings: settings, adapters: adapters, log: log, speed: speedMonitor{timeComputation: adapters.TimeComputation}, listenerFailed: make(chan struct{})}
+	if adapters.TimeComputation == nil {
+		p.speed.timeComputation = timeFixedComputation
 	}
-	var lis []net.Listener
-	for _, addr := range []string{set.Listen.Peer, set.Listen.Caller, set.Listen.Ready, set.MetricsAddr} {
+	var listeners []net.Listener
+	for _, addr := range []string{settings.Listen.Peer, settings.Listen.Caller, settings.Listen.Ready, settings.MetricsAddr} {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
-			for _, l := range lis {
+			for _, l := range listeners {
 				_ = l.Close()
 			}
 			return nil, errors.Wrap(err, "front")
 		}
-		lis = append(lis, l)
+		listeners = append(listeners, l)
 	}
-	h.callerAddr = lis[1].Addr().String()
+	p.callerAddr = listeners[1].Addr().String()
 	var scope tally.Scope
-	scope, h.metricsHandler, h.metricsCloser = telem.NewMetrics()
-	h.forwarder = &Forwarder{log: log, name: set.Name, scope: scope}
-	h.elector = lead.New(lead.Options{
-		Store: out.Store, Name: set.Name, Addr: lis[0].Addr().String(),
-		LeaseTTL: max(drive.HolderLease, conf.Milliseconds(set.Store.MinLeaseMillis)), Log: log, HolderAlive: h.holderAlive,
-		Capacity: h.capacity,
+	scope, p.metricsHandler, p.metricsCloser = telem.NewMetrics()
+	p.forwarder = &Forwarder{log: log, name: settings.Name, scope: scope}
+	p.elector = lead.New(lead.Options{
+		Store: adapters.Store, Name: settings.Name, Addr: listeners[0].Addr().String(),
+		LeaseTTL: max(drive.HolderLease, conf.Milliseconds(settings.Store.MinLeaseMillis)), Log: log, HolderAlive: p.holderAlive,
+		Capacity: p.capacity,
 	})
-	h.forwarder.elector = h.elector
-	h.monitor = &peerMonitor{elector: h.elector, links: &h.forwarder.links, capacity: h.offeredCapacity}
-	h.forwarder.monitor = h.monitor
+	p.forwarder.elector = p.elector
+	p.monitor = &peerMonitor{elector: p.elector, links: &p.forwarder.links, capacity: p.offeredCapacity}
+	p.forwarder.monitor = p.monitor
 	var err error
-	if h.peerServer, err = link.NewServer("Peer", &Peer{h.forwarder, h.monitor}); err != nil {
+	if p.peerServer, err = link.NewServer("Peer", &Peer{p.forwarder, p.monitor}); err != nil {
 		return nil, err
 	}
-	h.wg.Go(func() { h.peerServer.Serve(lis[0]) })
-	h.serveListener(lis[1], h.closeUnlessReady(out.CallerHandler(h.forwarder)))
-	h.serveListener(lis[2], out.ReadinessHandler(h.Ready))
-	h.serveListener(lis[3], h.metricsHandler)
+	p.wg.Go(func() { p.peerServer.Serve(listeners[0]) })
+	p.serveListener(listeners[1], p.closeUnlessReady(adapters.CallerHandler(p.forwarder)))
+	p.serveListener(listeners[2], adapters.ReadinessHandler(p.Ready))
+	p.serveListener(listeners[3], p.metricsHandler)
 	ctx, cancel := context.WithCancel(context.Background())
-	h.cancel = cancel
-	h.wg.Go(func() { h.elector.Run(ctx, h.runTenure) })
-	h.wg.Go(func() { h.monitor.sendHeartbeats(ctx, lis[0].Addr().String(), set.Name) })
-	h.wg.Go(func() { h.speed.run(ctx) })
-	log.Info("start", "zone", set.Zone, "carries", h.capacity(), "caller", lis[1].Addr(), "peer", lis[0].Addr())
-	return h, nil
+	p.cancel = cancel
+	p.wg.Go(func() { p.elector.Run(ctx, p.runTenure) })
+	p.wg.Go(func() { p.monitor.sendHeartbeats(ctx, listeners[0].Addr().String(), settings.Name) })
+	p.wg.Go(func() { p.speed.run(ctx) })
+	log.Info("start", "zone", settings.Zone, "carries", p.capacity(), "caller", listeners[1].Addr(), "peer", listeners[0].Addr())
+	return p, nil
 }
 
-func (h *Process) serveListener(l net.Listener, handler http.Handler) {
+// serveListener starts an HTTP server on a listener.
+func (p *Process) serveListener(l net.Listener, handler http.Handler) {
 	s := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
-	h.httpServers = append(h.httpServers, s)
-	h.wg.Go(func() {
+	p.httpServers = append(p.httpServers, s)
+	p.wg.Go(func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			h.log.Error(err, "listener lost", "addr", l.Addr())
-			h.listenerFailedOnce.Do(func() { close(h.listenerFailed) })
+			p.log.Error(err, "HTTP listener failed", "addr", l.Addr())
+			p.listenerFailedOnce.Do(func() { close(p.listenerFailed) })
 		}
 	})
 }
 
-// closeUnlessReady has connections closed with their next answer while this process isn't ready, so
-// that callers go elsewhere.
-func (h *Process) closeUnlessReady(next http.Handler) http.Handler {
+// closeUnlessReady returns a handler that closes each connection after its next answer while this process isn't ready,
+// so that callers connect to another host.
+func (p *Process) closeUnlessReady(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !h.Ready() {
+		if !p.Ready() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Ready reports whether this process can have callers' requests answered: it holds, or the
-// holder answers it.
+// Ready reports whether this process can answer callers' requests: it is the holder, or the holder answers it, and it
+// isn't stopping.
 //
-// The failure it guards against: a host that is cut off from the holder looks sound to the
-// balancer, and its callers are refused for as long as the cut lasts.
-func (h *Process) Ready() bool {
-	return !h.stopping.Load() && (h.forwarder.localHolder() != nil || h.monitor.holderReachable())
+// A host that is cut off from the holder must not be ready. Otherwise, the load balancer would go on sending it
+// requests, which would all be refused until the connection is back.
+func (p *Process) Ready() bool {
+	return !p.stopping.Load() && (p.forwarder.localHolder() != nil || p.monitor.holderReachable())
 }
 
-// capacity returns how many workers this process can hold at its machine's present speed; 0: not known.
-func (h *Process) capacity() int { return workerCapacity(h.settings.Limit, h.speed.slowdown()) }
+// capacity returns how many workers this process can handle as the holder at its machine's current speed, or 0 if that
+// isn't known.
+func (p *Process) capacity() int { return workerCapacity(p.settings.Limit, p.speed.slowdown()) }
 
-// offeredCapacity returns how many workers this process would take over: none once it stops.
-func (h *Process) offeredCapacity() int {
-	if h.stopping.Load() {
+// offeredCapacity returns the capacity that this process reports to the holder: 0 once it is stopping.
+func (p *Process) offeredCapacity() int {
+	if p.stopping.Load() {
 		return 0
 	}
-	return h.capacity()
+	return p.capacity()
 }
 
-func (h *Process) holderAlive(ctx context.Context, holder lead.Holder) bool {
+// holderAlive asks a former holder whether it is still running as the holder.
+func (p *Process) holderAlive(ctx context.Context, holder lead.Holder) bool {
 	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
 	defer cancel()
-	yes, err := link.Call[int, bool](ctx, h.forwarder.links.Get(holder.Addr), "Peer.Alive", 0)
-	return err == nil && yes
+	alive, err := link.Call[int, bool](ctx, p.forwarder.links.Get(holder.Addr), "Peer.Alive", 0)
+	return err == nil && alive
 }
 
-// runTenure is this process's time as the holder.
-func (h *Process) runTenure(t *lead.Tenure) {
-	h.tenure.Store(t)
-	defer h.tenure.CompareAndSwap(t, nil)
-	defer h.forwarder.setLocalHolder(nil)
-	h.wg.Go(func() { h.monitor.confirmWithPeers(t) })
-	h.wg.Go(func() { h.handOverIfOverloaded(t) })
+// runTenure runs the scheduler, peer confirmation and the check for a handover until the tenure ends.
+func (p *Process) runTenure(t *lead.Tenure) {
+	p.tenure.Store(t)
+	defer p.tenure.CompareAndSwap(t, nil)
+	defer p.forwarder.setLocalHolder(nil)
+	p.wg.Go(func() { p.monitor.confirmWithPeers(t) })
+	p.wg.Go(func() { p.handOverIfOverloaded(t) })
 	err := drive.Run(drive.Options{
-		Store: h.adapters.Store, Workers: h.adapters.WorkerClient, Codec: h.adapters.Codec, Tenure: t, Log: h.log,
-		WorkerLease: drive.WorkerLease(conf.Milliseconds(h.settings.Bound.MaxWorkerLeaseMillis)), MaxUnconfirmed: drive.MaxUnconfirmed,
-		MaxWorkerLease:   conf.Milliseconds(h.settings.Bound.MaxWorkerLeaseMillis),
-		MaxStopTime:      conf.Milliseconds(h.settings.Bound.MaxStopMillis),
-		JobRetention:     2 * conf.Seconds(h.settings.Bound.JobRetentionSeconds),
-		PeersConfirmedAt: h.monitor.lastConfirmed,
-		Scope:            h.forwarder.scope,
-	}, h.forwarder.setLocalHolder)
+		Store: p.adapters.Store, Workers: p.adapters.WorkerClient, Codec: p.adapters.Codec, Tenure: t, Log: p.log,
+		WorkerLease: drive.WorkerLease(conf.Milliseconds(p.settings.Bound.MaxWorkerLeaseMillis)), MaxUnconfirmed: drive.MaxUnconfirmed,
+		MaxWorkerLease:   conf.Milliseconds(p.settings.Bound.MaxWorkerLeaseMillis),
+		MaxStopTime:      conf.Milliseconds(p.settings.Bound.MaxStopMillis),
+		JobRetention:     2 * conf.Seconds(p.settings.Bound.JobRetentionSeconds),
+		PeersConfirmedAt: p.monitor.lastConfirmed,
+		Scope:            p.forwarder.scope,
+	}, p.forwarder.setLocalHolder)
 	cause := ""
 	if err != nil {
 		cause = err.Error()
 	}
-	h.log.Info("no longer the holder", "term", t.Term(), "cause", cause)
+	p.log.Info("no longer the holder", "term", t.Term(), "cause", cause)
 }
 
-// Addr returns the address (host:port) at which callers are served.
-func (h *Process) Addr() string { return h.callerAddr }
+// Addr returns the address (host:port) of the callers' listener.
+func (p *Process) Addr() string { return p.callerAddr }
 
-// ListenerFailed is closed when a listener fails.
-func (h *Process) ListenerFailed() <-chan struct{} { return h.listenerFailed }
+// ListenerFailed returns a channel that is closed when an HTTP listener fails.
+func (p *Process) ListenerFailed() <-chan struct{} { return p.listenerFailed }
 
-// Stop hands over what this process holds, serves the requests that still come while the
-// balancer turns away, and ends.
-func (h *Process) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, conf.Seconds(h.settings.Bound.GraceSeconds)*9/10)
+// Stop ends the process gracefully. It resigns if this process is the holder, serves the requests that arrive until the
+// load balancer has removed the host, and shuts the servers down. It limits itself to nine tenths of the grace period.
+func (p *Process) Stop(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, conf.Seconds(p.settings.Bound.GraceSeconds)*9/10)
 	defer cancel()
-	h.log.Info("stop")
-	h.stopping.Store(true)
-	h.elector.SuspendClaims(conf.Seconds(h.settings.Bound.GraceSeconds))
-	if t := h.tenure.Load(); t != nil {
-		h.resign(ctx, t)
+	p.log.Info("stop")
+	p.stopping.Store(true)
+	p.elector.SuspendClaims(conf.Seconds(p.settings.Bound.GraceSeconds))
+	if t := p.tenure.Load(); t != nil {
+		p.resign(ctx, t)
 	}
 	wait.For(ctx, drainDelay)
-	var first error
-	for _, s := range h.httpServers {
-		if err := s.Shutdown(ctx); err != nil && first == nil {
-			first = errors.Wrap(err, "front")
+	var firstErr error
+	for _, s := range p.httpServers {
+		if err := s.Shutdown(ctx); err != nil && firstErr == nil {
+			firstErr = errors.Wrap(err, "front")
 		}
 	}
-	h.cancel()
-	h.peerServer.Close()
-	h.wg.Wait()
-	if err := h.metricsCloser.Close(); err != nil && first == nil {
-		first = errors.Wrap(err, "front")
+	p.cancel()
+	p.peerServer.Close()
+	p.wg.Wait()
+	if err := p.metricsCloser.Close(); err != nil && firstErr == nil {
+		firstErr = errors.Wrap(err, "front")
 	}
-	return first
+	return firstErr
 }
