--- a/internal/proc/front/peers.go
+++ b/internal/proc/front/peers.go
@@ -13,110 +13,113 @@
 )
 
 const (
-	// heartbeatInterval is how often a process tells the holder that it follows; a call of some
-	// hundred bytes.
+	// heartbeatInterval is the interval of a follower's heartbeats to the holder. Each is a call of some hundred bytes.
 	heartbeatInterval = 500 * time.Millisecond
-	// maxMissedHeartbeats is how many calls in a row may be lost before their connection is given up.
+	// maxMissedHeartbeats is the number of failed heartbeats in a row after which the connection to the holder is
+	// reset.
 	maxMissedHeartbeats = 2
-	// holderReachableWindow is how long a holder that answered counts as reached: two calls may be lost.
+	// holderReachableWindow is how long the holder counts as reachable after an answer: two heartbeats may fail.
 	holderReachableWindow = 1700 * time.Millisecond
-	// holderSilentAfter is how long a holder has to be silent to this process for the store to be asked whether there can
-	// be another one.
+	// holderSilentAfter is the time without an answer from the holder after which the store is probed. Without the
+	// store there can be no other holder.
 	holderSilentAfter = time.Second
-	// heartbeatTimeout bounds a call that tells the holder of a follower.
+	// heartbeatTimeout limits one heartbeat.
 	heartbeatTimeout = 300 * time.Millisecond
-	// followerTTL is how long a follower that isn't heard any more counts, while the store confirms the holder.
+	// followerTTL is how long a follower counts after its last heartbeat, while the store confirms the holder.
 	followerTTL = 10 * time.Second
-	// storeSilentAfter is how long the store has to be silent for the peers to be asked, and aidEvery
-	// how often they are then.
-	storeSilentAfter    = 600 * time.Millisecond
+	// storeSilentAfter is the time since the store's last confirmation after which the holder asks its followers.
+	storeSilentAfter = 600 * time.Millisecond
+	// peerConfirmInterval is the time between two rounds of asking the followers.
 	peerConfirmInterval = 500 * time.Millisecond
-	// storeProbeTimeout bounds a peer's own question to the store, above the answers of a slow one, and
-	// aidLimit that peer's answer.
+	// storeProbeTimeout limits a follower's probe of the store. It is longer than a slow store takes to answer.
 	storeProbeTimeout = 500 * time.Millisecond
-	peerQueryTimeout  = storeProbeTimeout + 200*time.Millisecond
+	// peerQueryTimeout limits the wait for the followers' replies, each of which may include a probe of the store.
+	peerQueryTimeout = storeProbeTimeout + 200*time.Millisecond
 )
 
-// peerMonitor are the processes that follow this one while it holds. When the store is silent they
-// tell whether it is so for all: then there can be no successor, and the holder goes on.
+// peerMonitor exchanges heartbeats and status with the other entry processes. As a follower, it sends heartbeats to the
+// holder and detects whether this process is isolated. As the holder, it asks its followers to confirm it while the
+// store doesn't answer: if the store answers none of them, there can be no successor, and the holder goes on.
 //
-// The failure it guards against: in an outage of the store of some seconds, a holder that
-// stops for fear of being replaced loses the leases of every task on every worker.
+// Without peer confirmation, the holder would have to stop during an outage of the store of some seconds, as it may
+// have been replaced, and the leases of all tasks on all workers would expire.
 type peerMonitor struct {
-	elector *lead.Elector
-	links   *link.Set
-	// capacity tells how many workers this process would hold; 0: not known, or none.
-	capacity func() int
+	elector  *lead.Elector // knows who the holder is
+	links    *link.Set     // connections to other entry processes
+	capacity func() int    // returns how many workers this process would handle as the holder; 0: not known, or none
 
 	mu               sync.Mutex
-	heardAt          map[string]time.Time
-	confirmedAt      time.Time
-	holderAnsweredAt time.Time     // when the holder last answered this process
-	isolatedCh       chan struct{} // closed while neither the holder nor the store answers this process; nil: as if open
-	isolated         bool
+	heardAt          map[string]time.Time // last heartbeat of each follower, by the address of its peer interface
+	confirmedAt      time.Time            // when the followers last confirmed this process as the holder
+	holderAnsweredAt time.Time            // when the holder last answered this process
+	isolatedCh       chan struct{}        // closed while isolated is set; nil stands for an open channel
+	isolated         bool                 // neither the holder nor the store answers this process
 }
 
-func (p *peerMonitor) recordFollower(addr string, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.heardAt == nil {
-		p.heardAt = map[string]time.Time{}
+// recordFollower records a heartbeat of the follower with a peer interface at addr.
+func (m *peerMonitor) recordFollower(addr string, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.heardAt == nil {
+		m.heardAt = map[string]time.Time{}
 	}
-	p.heardAt[addr] = now
+	m.heardAt[addr] = now
 }
 
-// followers returns the followers: all that were heard of late at a time, or since.
+// followers returns the addresses of the followers whose last heartbeat was received at most followerTTL before the
+// given time, or after it.
 //
-// With the time of the store's last word they stay the same for as long as the holder needs them. If
-// those that have fallen silent dropped out, a holder cut off with a few of its followers would
-// have the backing of all that are left, while another holds on the far side.
-func (p *peerMonitor) followers(at time.Time) []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var all []string
-	for addr, seen := range p.heardAt {
-		if at.Sub(seen) > followerTTL {
-			delete(p.heardAt, addr)
+// Callers pass the time of the store's last confirmation, so that no follower is dropped during an outage of the store.
+// If silent followers were dropped, a holder that is cut off together with a few of its followers would be confirmed by
+// all that remain, while there is another holder on the other side of the partition.
+func (m *peerMonitor) followers(at time.Time) []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var addrs []string
+	for addr, heardAt := range m.heardAt {
+		if at.Sub(heardAt) > followerTTL {
+			delete(m.heardAt, addr)
 			continue
 		}
-		all = append(all, addr)
+		addrs = append(addrs, addr)
 	}
-	return all
+	return addrs
 }
 
-// lastConfirmed returns when the peers last lastConfirmed this holder.
-func (p *peerMonitor) lastConfirmed() time.Time {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.confirmedAt
+// lastConfirmed returns when the followers last confirmed this process as the holder.
+func (m *peerMonitor) lastConfirmed() time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.confirmedAt
 }
 
-// sendHeartbeats tells the holder regularly that this process follows it.
-func (p *peerMonitor) sendHeartbeats(ctx context.Context, self string, name string) {
+// sendHeartbeats sends a heartbeat to the holder every heartbeatInterval until ctx ends, and updates whether this
+// process is isolated. selfAddr is the address of this process's peer interface, selfName its name.
+func (m *peerMonitor) sendHeartbeats(ctx context.Context, selfAddr string, selfName string) {
 	misses := 0
 	for wait.For(ctx, heartbeatInterval) {
-		h, _ := p.elector.Holder()
-		if h.Name == name {
-			p.setIsolated(false)
+		h, _ := m.elector.Holder()
+		if h.Name == selfName {
+			m.setIsolated(false)
 			continue
 		}
 		if h.Name == "" {
-			p.setIsolated(p.probeIsolation(ctx))
+			m.setIsolated(m.probeIsolation(ctx))
 			continue
 		}
-		cctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
-		l := p.links.Get(h.Addr)
-		_, err := link.Call[string, int](cctx, l, "Peer.Follow", self)
+		callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+		l := m.links.Get(h.Addr)
+		_, err := link.Call[string, int](callCtx, l, "Peer.Follow", selfAddr)
 		cancel()
 		if err == nil {
 			misses = 0
-			p.mu.Lock()
-			p.holderAnsweredAt = time.Now()
-			p.mu.Unlock()
-			p.setIsolated(false)
+			m.mu.Lock()
+			m.holderAnsweredAt = time.Now()
+			m.mu.Unlock()
+			m.setIsolated(false)
 			continue
 		}
-		p.setIsolated(p.probeIsolation(ctx))
+		m.setIsolated(m.probeIsolation(ctx))
 		if misses++; misses >= maxMissedHeartbeats && errors.Is(err, link.ErrAnswerLost) {
 			misses = 0
 			l.Reset()
@@ -124,103 +127,104 @@
 	}
 }
 
-// probeIsolation reports whether neither the holder nor the store answers this process. Then nobody can answer a request
-// here, and no new holder is heard of, before one of them is back.
-func (p *peerMonitor) probeIsolation(ctx context.Context) bool {
-	p.mu.Lock()
-	silent := time.Since(p.holderAnsweredAt) >= holderSilentAfter
-	p.mu.Unlock()
+// probeIsolation reports whether neither the holder nor the store answers this process. It probes the store only if the
+// holder hasn't answered for holderSilentAfter. An isolated process can't have requests answered, nor learn of a new
+// holder, until one of them answers again.
+func (m *peerMonitor) probeIsolation(ctx context.Context) bool {
+	m.mu.Lock()
+	silent := time.Since(m.holderAnsweredAt) >= holderSilentAfter
+	m.mu.Unlock()
 	if !silent {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeProbeTimeout)
 	defer cancel()
-	return !p.elector.ProbeStore(ctx)
+	return !m.elector.ProbeStore(ctx)
 }
 
-func (p *peerMonitor) setIsolated(away bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if away == p.isolated {
+// setIsolated sets whether this process is isolated, and closes or replaces isolatedCh on a change.
+func (m *peerMonitor) setIsolated(isolated bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if isolated == m.isolated {
 		return
 	}
-	p.isolated = away
-	if p.isolatedCh == nil || !away {
-		p.isolatedCh = make(chan struct{})
+	m.isolated = isolated
+	if m.isolatedCh == nil || !isolated {
+		m.isolatedCh = make(chan struct{})
 	}
-	if away {
-		close(p.isolatedCh)
+	if isolated {
+		close(m.isolatedCh)
 	}
 }
 
-// isolation returns a channel that is closed once neither the holder nor the store answers this process, and whether
-// that is so.
-func (p *peerMonitor) isolation() (<-chan struct{}, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.isolatedCh == nil {
-		p.isolatedCh = make(chan struct{})
+// isolation returns a channel that is closed once this process is isolated, and whether it is.
+func (m *peerMonitor) isolation() (<-chan struct{}, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.isolatedCh == nil {
+		m.isolatedCh = make(chan struct{})
 	}
-	return p.isolatedCh, p.isolated
+	return m.isolatedCh, m.isolated
 }
 
-// holderReachable reports whether the holder answers this process.
-func (p *peerMonitor) holderReachable() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return time.Since(p.holderAnsweredAt) < holderReachableWindow
+// holderReachable reports whether the holder has answered this process within holderReachableWindow.
+func (m *peerMonitor) holderReachable() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return time.Since(m.holderAnsweredAt) < holderReachableWindow
 }
 
-// confirmWithPeers asks the peers of a holder while the store is silent.
-func (p *peerMonitor) confirmWithPeers(t *lead.Tenure) {
+// confirmWithPeers asks the followers to confirm this holder while the store doesn't, until the tenure ends.
+func (m *peerMonitor) confirmWithPeers(t *lead.Tenure) {
 	for wait.For(t.Context(), peerConfirmInterval) {
 		now := time.Now()
 		if now.Sub(t.ConfirmedAt()) < storeSilentAfter {
 			continue
 		}
-		addrs := p.followers(t.ConfirmedAt())
-		if confirmedByPeers(t.Term(), p.queryFollowers(t.Context(), addrs, peerQueryTimeout), len(addrs)) {
-			p.mu.Lock()
-			p.confirmedAt = now
-			p.mu.Unlock()
+		addrs := m.followers(t.ConfirmedAt())
+		if confirmedByPeers(t.Term(), m.queryFollowers(t.Context(), addrs, peerQueryTimeout), len(addrs)) {
+			m.mu.Lock()
+			m.confirmedAt = now
+			m.mu.Unlock()
 		}
 	}
 }
 
-// confirmedByPeers reports whether a holder's peers back it, by the answers of some of all: more than half say
-// that the store fails them too, and nobody that it doesn't or that there is a newer holder.
+// confirmedByPeers reports whether the followers confirm the holder of a term. More than half of them must reply that
+// the store doesn't answer them, and none may reply that it does or that it knows a newer term.
 //
-// One peer that the store serves may have become the holder, or be about to; a majority that is
-// turned away with the present one doesn't know.
-func confirmedByPeers(term int64, answers []followerReply, all int) bool {
-	for _, a := range answers {
+// A single follower that the store answers may have become the holder, or be about to. A majority that is cut off from
+// the store together with the current holder wouldn't know.
+func confirmedByPeers(term int64, replies []followerReply, followers int) bool {
+	for _, a := range replies {
 		if !a.Failing || a.Term > term {
 			return false
 		}
 	}
-	return 2*len(answers) > all
+	return 2*len(replies) > followers
 }
 
-// queryFollowers asks followers how things look from there; one that doesn't answer in time is left out.
-func (p *peerMonitor) queryFollowers(ctx context.Context, addrs []string, limit time.Duration) []followerReply {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// queryFollowers asks followers for their status and returns the replies that arrive within the timeout.
+func (m *peerMonitor) queryFollowers(ctx context.Context, addrs []string, timeout time.Duration) []followerReply {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answers := make(chan *followerReply, len(addrs))
+	results := make(chan *followerReply, len(addrs))
 	for _, addr := range addrs {
 		go func() {
-			out, err := link.Call[int, FollowerStatus](ctx, p.links.Get(addr), "Peer.Outlook", 0)
+			status, err := link.Call[int, FollowerStatus](ctx, m.links.Get(addr), "Peer.Outlook", 0)
 			if err != nil {
-				answers <- nil
+				results <- nil
 				return
 			}
-			answers <- &followerReply{addr, out}
+			results <- &followerReply{addr, status}
 		}()
 	}
-	var all []followerReply
+	var replies []followerReply
 	for range addrs {
-		if o := <-answers; o != nil {
-			all = append(all, *o)
+		if o := <-results; o != nil {
+			replies = append(replies, *o)
 		}
 	}
-	return all
+	return replies
 }
--- a/internal/proc/front/peers_test.go
+++ b/internal/proc/front/peers_test.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// Two processes act as the holder, and a book is printed twice: the store turns the holder and most of its
-// peers away and serves one, which becomes the holder; the former one is backed by the rest, who
-// know no better, and goes on. One word against it has to end that.
+// The store answers only one follower, which becomes the holder. The former holder and most of its followers are cut
+// off from the store. If these confirmed the former holder, two processes would act as the holder and a task would run
+// twice. A single reply to the contrary must prevent the confirmation.
 func TestConfirmedByPeers(t *testing.T) {
-	away := followerReply{FollowerStatus: FollowerStatus{Failing: true, Term: 3}}
-	serves := followerReply{FollowerStatus: FollowerStatus{Term: 3}}
-	newer := followerReply{FollowerStatus: FollowerStatus{Failing: true, Term: 4}}
+	storeSilent := followerReply{FollowerStatus: FollowerStatus{Failing: true, Term: 3}}
+	storeAnswers := followerReply{FollowerStatus: FollowerStatus{Term: 3}}
+	newerTerm := followerReply{FollowerStatus: FollowerStatus{Failing: true, Term: 4}}
 	for _, tt := range []struct {
-		name    string
-		answers []followerReply
-		all     int
-		want    bool
+		name      string
+		replies   []followerReply
+		followers int
+		want      bool
 	}{
-		{"away for all", []followerReply{away, away, away}, 3, true},
-		{"away, one is silent", []followerReply{away, away}, 3, true},
-		{"away, half are silent", []followerReply{away, away}, 4, false},
-		{"one is served", []followerReply{away, away, away, serves}, 4, false},
-		{"one knows a newer holder", []followerReply{away, away, newer}, 3, false},
-		{"nobody follows", nil, 0, false},
+		{"store answers nobody", []followerReply{storeSilent, storeSilent, storeSilent}, 3, true},
+		{"store answers nobody, one of three doesn't reply", []followerReply{storeSilent, storeSilent}, 3, true},
+		{"store answers nobody, half don't reply", []followerReply{storeSilent, storeSilent}, 4, false},
+		{"store answers one", []followerReply{storeSilent, storeSilent, storeSilent, storeAnswers}, 4, false},
+		{"one knows a newer term", []followerReply{storeSilent, storeSilent, newerTerm}, 3, false},
+		{"no followers", nil, 0, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := confirmedByPeers(3, tt.answers, tt.all); got != tt.want {
-				t.Errorf("backed: %t, want %t", got, tt.want)
+			if got := confirmedByPeers(3, tt.replies, tt.followers); got != tt.want {
+				t.Errorf("confirmed: %t, want %t", got, tt.want)
 			}
 		})
 	}
 }
 
-// A holder is cut off with one of five followers. After some seconds the other four were forgotten,
-// and the one that was left was a majority.
+// A holder is cut off together with one of its five followers. If it dropped the other four after some seconds, the
+// remaining one would be a majority and confirm it.
 func TestFollowersKeptWhileUnconfirmed(t *testing.T) {
-	p := &peerMonitor{}
-	sure := time.Now()
+	m := &peerMonitor{}
+	confirmedAt := time.Now()
 	for _, addr := range []string{"a", "b", "c", "d", "e"} {
-		p.recordFollower(addr, sure.Add(-time.Second))
+		m.recordFollower(addr, confirmedAt.Add(-time.Second))
 	}
-	p.recordFollower("gone", sure.Add(-2*followerTTL))
-	p.recordFollower("a", sure.Add(2*followerTTL))
-	if got := p.followers(sure); len(got) != 5 {
-		t.Errorf("%d followers count, want the 5 of the store's last word", len(got))
+	m.recordFollower("gone", confirmedAt.Add(-2*followerTTL))
+	m.recordFollower("a", confirmedAt.Add(2*followerTTL))
+	if got := m.followers(confirmedAt); len(got) != 5 {
+		t.Errorf("%d followers, want the 5 at the time of the store's last confirmation", len(got))
 	}
 }
