--- a/internal/proc/front/capacity.go
+++ b/internal/proc/front/capacity.go
@@ -6,24 +6,24 @@
 	"bramleysail.example/bramleysail/internal/base/conf"
 )
 
-// What a holder needs for each worker.
+// Resources that the holder needs for each worker.
 const (
-	coresPerWorker  = 0.0012 // of a core
+	coresPerWorker  = 0.0012 // cores
 	memoryPerWorker = 0.25   // MiB
-	filesPerWorker  = 5      // descriptors: connections for polls and orders
-	linkPerWorker   = 0.02   // Mbit/s, of a takeover, when all workers are asked at once
+	filesPerWorker  = 5      // file descriptors: connections for polls and orders
+	linkPerWorker   = 0.02   // Mbit/s during a takeover, when all workers are polled at once
 )
 
-// What any process needs besides.
+// Resources that a process needs in addition, whether it is the holder or not.
 const (
 	baseMemory = 20  // MiB
-	baseFiles  = 200 // descriptors that the platform keeps for files
+	baseFiles  = 200 // file descriptors that the platform reserves for files
 )
 
-// reservedFilesShare is the share of a process's descriptors that is kept for callers, peers and the store.
+// reservedFilesShare is the share of a process's file descriptors that is reserved for callers, peers and the store.
 const reservedFilesShare = 0.15
 
-// MaxWorkerConns returns how many connections to workers a process may have open; 0: not known.
+// MaxWorkerConns returns how many connections to workers a process may have open, or 0 if its limit isn't known.
 func MaxWorkerConns(l conf.HostLimit) int {
 	if l.MaxFiles <= 0 {
 		return 0
@@ -31,22 +31,22 @@
 	return max(1, int((1-reservedFilesShare)*l.MaxFiles-baseFiles))
 }
 
-// workerCapacity returns how many workers a process can hold within its limits, on a machine that is so many times
-// slower than it can be; 0: not known.
-func workerCapacity(l conf.HostLimit, slower float64) int {
-	least := math.Inf(1)
-	for _, need := range []struct{ has, base, each float64 }{
-		{l.CPUShare * l.CoreSpeed / slower, 0, coresPerWorker},
+// workerCapacity returns how many workers a process can handle as the holder within its limits, or 0 if no limit is
+// known. slowdown is how many times slower the machine is than at its full speed.
+func workerCapacity(l conf.HostLimit, slowdown float64) int {
+	capacity := math.Inf(1)
+	for _, res := range []struct{ limit, base, perWorker float64 }{
+		{l.CPUShare * l.CoreSpeed / slowdown, 0, coresPerWorker},
 		{l.MemoryMiB, baseMemory, memoryPerWorker},
 		{l.MaxFiles, baseFiles, filesPerWorker},
 		{l.LinkMbps, 0, linkPerWorker},
 	} {
-		if need.has > 0 {
-			least = min(least, (need.has-need.base)/need.each)
+		if res.limit > 0 {
+			capacity = min(capacity, (res.limit-res.base)/res.perWorker)
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(capacity, 1) {
 		return 0
 	}
-	return max(int(least), 1) // one that can carry nothing isn't one of which nothing is known
+	return max(int(capacity), 1) // at least 1, as 0 means that the capacity isn't known
 }
--- a/internal/proc/front/handover.go
+++ b/internal/proc/front/handover.go
@@ -9,99 +9,105 @@
 )
 
 const (
-	// minTenureBeforeHandover is how long a holder does its work before it may hand over: by then it has heard of
-	// the workers and renewed their leases, which outlast the change.
+	// minTenureBeforeHandover is how long a process is the holder before it may hand over. By then it has polled the
+	// workers and renewed their leases, which last longer than a change of holder takes.
 	minTenureBeforeHandover = 3 * time.Second
-	// capacityCheckInterval is between two looks at what this holder carries, and handEvery between two looks for a
-	// successor, each a call to every follower.
-	capacityCheckInterval   = 500 * time.Millisecond
+	// capacityCheckInterval is the time between two checks of the holder's capacity.
+	capacityCheckInterval = 500 * time.Millisecond
+	// successorSearchInterval is the minimum time between two searches for a successor, each of which calls every
+	// follower.
 	successorSearchInterval = 2 * time.Second
-	successorSearchTimeout  = time.Second
-	// claimPauseAfterHandover keeps a holder that has handed over from claiming: its successor claims at once.
+	// successorSearchTimeout limits the wait for the followers' replies in a search.
+	successorSearchTimeout = time.Second
+	// claimPauseAfterHandover is how long a process doesn't claim after a handover. Its successor claims at once, well
+	// within that time.
 	claimPauseAfterHandover = 2 * time.Second
-	// minHandoverInterval is how long a process that has handed over, and holds again, keeps the key: the
-	// successor couldn't hold it, and going to and fro would cost more than being late.
+	// minHandoverInterval is the minimum time between two handovers of one process. If it is the holder again, its
+	// successor couldn't remain the holder, and handing over back and forth would cost more than working late.
 	minHandoverInterval = time.Minute
-	// minCapacityGain is how many times as much a successor has to carry to be worth the change.
+	// minCapacityGain is the minimum ratio of the successor's capacity to the holder's. For less, a handover costs more
+	// than it gains.
 	minCapacityGain = 1.5
-	// resignTimeout bounds giving up the key, which goes with its lease if that fails.
+	// resignTimeout limits the deletion of the holder's key. If it fails, the key is deleted when its lease expires.
 	resignTimeout = time.Second
 )
 
-// followerReply is how things look from a follower.
+// followerReply is a follower's reply to the holder.
 type followerReply struct {
-	addr string
+	addr string // of the follower's peer interface
 	FollowerStatus
 }
 
-// chooseSuccessor chooses the follower to hand over to: the one that carries most. There is none if the
-// holder of a term carries its workers, or if no follower carries clearly more and reaches the store.
+// chooseSuccessor returns the follower to hand over to: the one with the most capacity among those that reach the store
+// and know of no newer term. It returns false if the holder's capacity suffices for its workers or isn't known, or if
+// that follower has less than minCapacityGain times the holder's capacity.
 //
-// A holder whose limits would do, but whose machine has turned slow, hands over only to a follower that carries
-// all workers: any other would hand over again, and slowness passes.
-func chooseSuccessor(carries, limits, workers int, term int64, offers []followerReply) (followerReply, bool) {
+// A holder that would have enough capacity at its machine's full speed hands over only to a follower with capacity for
+// all workers. Any other follower would hand over again, and a slowdown passes.
+func chooseSuccessor(capacity, fullSpeedCapacity, workers int, term int64, replies []followerReply) (followerReply, bool) {
 	var best followerReply
-	if carries <= 0 || workers <= carries {
+	if capacity <= 0 || workers <= capacity {
 		return best, false
 	}
-	for _, o := range offers {
+	for _, o := range replies {
 		if !o.Failing && o.Term <= term && o.Carries > best.Carries {
 			best = o
 		}
 	}
-	if limits >= workers && best.Carries < workers {
+	if fullSpeedCapacity >= workers && best.Carries < workers {
 		return best, false
 	}
-	return best, float64(best.Carries) >= minCapacityGain*float64(carries)
+	return best, float64(best.Carries) >= minCapacityGain*float64(capacity)
 }
 
-// handOverIfOverloaded gives the key up once when this holder carries fewer workers than there are and a follower
-// carries clearly more. Not while tasks wait for workers out of reach: the successor would wait anew.
+// handOverIfOverloaded resigns when this holder has more workers than capacity and a follower has clearly more
+// capacity. It doesn't resign while the store doesn't confirm the holder, nor while tasks are withheld, as the
+// successor would withhold them for the full time again.
 //
-// The failure it guards against: when all hosts start for the first time, or when the strong ones
-// were away, a weak host becomes the holder and stays so for good, or the holder's machine turns slow; under it
-// orders time out and workers' leases lapse. Given up, the key goes to a host that carries the workers, as the
-// others leave it a vacant one (see lead.Options).
-func (h *Process) handOverIfOverloaded(t *lead.Tenure) {
-	limits := workerCapacity(h.settings.Limit, 1)
-	first := minTenureBeforeHandover
-	if at := h.lastHandover.Load(); at != nil {
-		first = max(first, minHandoverInterval-time.Since(*at))
+// A host with too little capacity becomes the holder when all hosts start for the first time, or when the larger ones
+// were down; or the holder's machine becomes slow. Without a handover it would remain the holder, while orders time out
+// and workers' leases expire. After the handover, a host with enough capacity becomes the holder, as the others delay
+// their claims (see lead.Options.Capacity).
+func (p *Process) handOverIfOverloaded(t *lead.Tenure) {
+	fullSpeedCapacity := workerCapacity(p.settings.Limit, 1)
+	delay := minTenureBeforeHandover
+	if at := p.lastHandover.Load(); at != nil {
+		delay = max(delay, minHandoverInterval-time.Since(*at))
 	}
-	if limits <= 0 || !wait.For(t.Context(), first) {
+	if fullSpeedCapacity <= 0 || !wait.For(t.Context(), delay) {
 		return
 	}
-	var asked time.Time
+	var lastSearch time.Time
 	for ; t.Context().Err() == nil; wait.For(t.Context(), capacityCheckInterval) {
-		d := h.forwarder.localHolder()
-		carries := h.capacity()
-		if d == nil || time.Since(asked) < successorSearchInterval || time.Since(t.ConfirmedAt()) > storeSilentAfter || d.TrackedWorkerCount() <= carries || d.HasWithheldTasks() {
+		holder := p.forwarder.localHolder()
+		capacity := p.capacity()
+		if holder == nil || time.Since(lastSearch) < successorSearchInterval || time.Since(t.ConfirmedAt()) > storeSilentAfter || holder.TrackedWorkerCount() <= capacity || holder.HasWithheldTasks() {
 			continue
 		}
-		asked = time.Now()
-		workers := d.TrackedWorkerCount()
-		offers := h.monitor.queryFollowers(t.Context(), h.monitor.followers(t.ConfirmedAt()), successorSearchTimeout)
-		// One look alone may be mistaken, or the machine may be fast again.
-		carries = max(carries, h.capacity())
-		to, ok := chooseSuccessor(carries, limits, workers, t.Term(), offers)
+		lastSearch = time.Now()
+		workers := holder.TrackedWorkerCount()
+		replies := p.monitor.queryFollowers(t.Context(), p.monitor.followers(t.ConfirmedAt()), successorSearchTimeout)
+		// A single check may be wrong, or the machine may have recovered in the meantime.
+		capacity = max(capacity, p.capacity())
+		successor, ok := chooseSuccessor(capacity, fullSpeedCapacity, workers, t.Term(), replies)
 		if !ok {
 			continue
 		}
-		h.log.Info("hands over", "term", t.Term(), "carries", carries, "limits", limits, "workers", workers, "to", to.addr, "offers", to.Carries)
+		p.log.Info("hands over", "term", t.Term(), "carries", capacity, "limits", fullSpeedCapacity, "workers", workers, "to", successor.addr, "offers", successor.Carries)
 		now := time.Now()
-		h.lastHandover.Store(&now)
-		h.elector.SuspendClaims(claimPauseAfterHandover)
+		p.lastHandover.Store(&now)
+		p.elector.SuspendClaims(claimPauseAfterHandover)
 		ctx, cancel := context.WithTimeout(context.Background(), resignTimeout)
-		h.resign(ctx, t)
+		p.resign(ctx, t)
 		cancel()
 		return
 	}
 }
 
-// resign gives the key up, so that another process takes over at once.
-func (h *Process) resign(ctx context.Context, t *lead.Tenure) {
-	h.forwarder.setLocalHolder(nil)
+// resign ends the tenure and deletes the holder's key, so that another process can take over at once.
+func (p *Process) resign(ctx context.Context, t *lead.Tenure) {
+	p.forwarder.setLocalHolder(nil)
 	if err := t.Resign(ctx); err != nil {
-		h.log.Info("not resigned", "cause", err.Error())
+		p.log.Info("holder's key not deleted, its lease will expire", "cause", err.Error())
 	}
 }
--- a/internal/proc/front/handover_test.go
+++ b/internal/proc/front/handover_test.go
@@ -2,44 +2,44 @@
 
 import "testing"
 
-// A weak holder with too many workers hands over, but only for a gain: to a follower that would
-// lose the key at once, or is as weak, a change costs more than it brings.
+// A holder with more workers than capacity hands over only if there is a gain. A handover to a follower that would stop
+// being the holder at once, or that has as little capacity, costs more than it gains.
 func TestChooseSuccessor(t *testing.T) {
 	const term = 3
-	at := func(addr string, carries int) followerReply {
-		return followerReply{addr, FollowerStatus{Carries: carries, Term: term}}
+	reply := func(addr string, capacity int) followerReply {
+		return followerReply{addr, FollowerStatus{Carries: capacity, Term: term}}
 	}
-	failing, newer := at("failing", 700), at("newer", 700)
+	failing, newerTerm := reply("failing", 700), reply("newer", 700)
 	failing.Failing = true
-	newer.Term = term + 1
+	newerTerm.Term = term + 1
 	for _, tt := range []struct {
-		name            string
-		carries, limits int
-		workers         int
-		offers          []followerReply
-		want            string // "": nobody
+		name                        string
+		capacity, fullSpeedCapacity int
+		workers                     int
+		replies                     []followerReply
+		want                        string // address of the successor; "": none
 	}{
-		{"strong one follows", 91, 91, 350, []followerReply{at("weak", 91), at("strong", 666)}, "strong"},
-		{"the strongest", 91, 91, 350, []followerReply{at("a", 300), at("b", 666), at("c", 400)}, "b"},
-		{"enough for the workers", 91, 91, 91, []followerReply{at("strong", 666)}, ""},
-		{"own limits not known", 0, 0, 350, []followerReply{at("strong", 666)}, ""},
+		{"large follower", 91, 91, 350, []followerReply{reply("small", 91), reply("large", 666)}, "large"},
+		{"the largest follower", 91, 91, 350, []followerReply{reply("a", 300), reply("b", 666), reply("c", 400)}, "b"},
+		{"enough capacity for the workers", 91, 91, 91, []followerReply{reply("large", 666)}, ""},
+		{"own limits not known", 0, 0, 350, []followerReply{reply("large", 666)}, ""},
 		{"no followers", 91, 91, 350, nil, ""},
-		{"all alike", 91, 91, 350, []followerReply{at("a", 91), at("b", 91)}, ""},
-		{"hardly stronger", 91, 91, 350, []followerReply{at("a", 136)}, ""},
-		{"clearly stronger, too weak as well", 91, 91, 350, []followerReply{at("a", 137)}, "a"},
-		{"limits there not known, or it stops", 91, 91, 350, []followerReply{at("a", 0)}, ""},
-		{"the store fails it", 91, 91, 350, []followerReply{failing, at("b", 200)}, "b"},
-		{"it knows of a newer holder", 91, 91, 350, []followerReply{newer}, ""},
-		{"slowed, a sound one follows", 83, 666, 350, []followerReply{at("weak", 91), at("sound", 666)}, "sound"},
-		{"slowed, only weak ones follow", 20, 666, 350, []followerReply{at("a", 91), at("b", 349)}, ""},
-		{"slowed, and so are the others", 83, 666, 350, []followerReply{at("a", 83), at("b", 110)}, ""},
-		{"slowed, and carries the workers still", 222, 666, 200, []followerReply{at("sound", 666)}, ""},
-		{"slowed, hardly faster", 300, 666, 350, []followerReply{at("a", 400)}, ""},
-		{"weak and slowed", 15, 91, 350, []followerReply{at("a", 91)}, "a"},
+		{"followers with the same capacity", 91, 91, 350, []followerReply{reply("a", 91), reply("b", 91)}, ""},
+		{"gain too small", 91, 91, 350, []followerReply{reply("a", 136)}, ""},
+		{"enough gain, too little capacity for all workers", 91, 91, 350, []followerReply{reply("a", 137)}, "a"},
+		{"follower's capacity not known, or it is stopping", 91, 91, 350, []followerReply{reply("a", 0)}, ""},
+		{"store doesn't answer the larger follower", 91, 91, 350, []followerReply{failing, reply("b", 200)}, "b"},
+		{"follower knows a newer term", 91, 91, 350, []followerReply{newerTerm}, ""},
+		{"slowed, follower at full speed", 83, 666, 350, []followerReply{reply("small", 91), reply("fast", 666)}, "fast"},
+		{"slowed, only followers with too little capacity", 20, 666, 350, []followerReply{reply("a", 91), reply("b", 349)}, ""},
+		{"slowed, and so are the followers", 83, 666, 350, []followerReply{reply("a", 83), reply("b", 110)}, ""},
+		{"slowed, still enough capacity for the workers", 222, 666, 200, []followerReply{reply("fast", 666)}, ""},
+		{"slowed, gain too small", 300, 666, 350, []followerReply{reply("a", 400)}, ""},
+		{"small and slowed", 15, 91, 350, []followerReply{reply("a", 91)}, "a"},
 	} {
-		got, ok := chooseSuccessor(tt.carries, tt.limits, tt.workers, term, tt.offers)
+		got, ok := chooseSuccessor(tt.capacity, tt.fullSpeedCapacity, tt.workers, term, tt.replies)
 		if ok != (tt.want != "") || ok && got.addr != tt.want {
-			t.Errorf("%s: %q, %v, want %q", tt.name, got.addr, ok, tt.want)
+			t.Errorf("%s: successor %q (found: %v), want %q", tt.name, got.addr, ok, tt.want)
 		}
 	}
 }
--- a/internal/proc/front/speed.go
+++ b/internal/proc/front/speed.go
@@ -11,70 +11,72 @@
 )
 
 const (
-	// computationRounds is the length of the computation that is timed: some tens of microseconds.
+	// computationRounds is the number of rounds of the timed computation, which takes some tens of microseconds.
 	computationRounds = 10_000
-	// samplesPerCheck is how often it is timed in one look.
+	// samplesPerCheck is how often the computation is timed in one check.
 	samplesPerCheck = 5
-	// speedCheckInterval is between two looks that nobody has asked for; they find how fast the machine can be.
+	// speedCheckInterval is the interval of the regular checks, which are made to learn the machine's full speed.
 	speedCheckInterval = 5 * time.Second
-	// slowdownThreshold is how many times as long as at its fastest the computation takes on a slowed machine.
-	// Clock rates and neighbours on a core make a sound one up to twice as slow.
+	// slowdownThreshold is the ratio of the computation's current time to its fastest from which a machine counts as
+	// slowed. Clock rates, and neighbours on the same core, make a healthy machine up to twice as slow.
 	slowdownThreshold = 3.0
 )
 
-// speedMonitor follows how fast this machine computes.
+// speedMonitor measures how much slower this machine is than at its full speed.
 //
-// The failure it guards against: a machine that has turned slow carries by its limits what it did before. It
-// becomes the holder and starves under the work.
+// The configured limits alone give a slowed machine the same capacity as before. It would become the holder, and be
+// overloaded by its work.
 type speedMonitor struct {
 	timeComputation func() time.Duration // times the computation once
 
 	mu            sync.Mutex
-	fastestMedian time.Duration // that it took in a look so far; 0: not known
+	fastestMedian time.Duration // shortest median of a check so far; 0: not known
 }
 
-// slowdown returns how many times slowdown this machine is now than it can be; 1 if it isn't clearly slowdown.
+// slowdown makes a check and returns how many times slower this machine is than at its full speed, or 1 if the ratio is
+// below slowdownThreshold.
 //
-// The shortest try tells of now: whatever else runs on the processor, or a quota that is used up, rarely breaks
-// into all of them. The fastest so far is one of medians, as a clock that is corrected stands still for a try or two.
-func (p *speedMonitor) slowdown() float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var tries [samplesPerCheck]time.Duration
-	for i := range tries {
-		tries[i] = p.timeComputation()
+// The current speed is that of the shortest sample, as other load on the processor, or an exhausted CPU quota, rarely
+// interrupts all samples. The full speed is that of the shortest median, as a clock that is being corrected may stand
+// still for one or two samples.
+func (m *speedMonitor) slowdown() float64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var samples [samplesPerCheck]time.Duration
+	for i := range samples {
+		samples[i] = m.timeComputation()
 	}
-	slices.Sort(tries[:])
-	now, median := tries[0], tries[samplesPerCheck/2]
+	slices.Sort(samples[:])
+	shortest, median := samples[0], samples[samplesPerCheck/2]
 	if median <= 0 {
-		return 1 // the clock is too coarse
+		return 1 // the clock's resolution is too coarse
 	}
-	if p.fastestMedian == 0 || median < p.fastestMedian {
-		p.fastestMedian = median
+	if m.fastestMedian == 0 || median < m.fastestMedian {
+		m.fastestMedian = median
 	}
-	if ratio := float64(now) / float64(p.fastestMedian); ratio >= slowdownThreshold {
+	if ratio := float64(shortest) / float64(m.fastestMedian); ratio >= slowdownThreshold {
 		return ratio
 	}
 	return 1
 }
 
-// run looks at the machine's speed now and then until ctx ends.
-func (p *speedMonitor) run(ctx context.Context) {
+// run makes a check every speedCheckInterval until ctx ends.
+func (m *speedMonitor) run(ctx context.Context) {
 	for wait.For(ctx, speedCheckInterval) {
-		p.slowdown()
+		m.slowdown()
 	}
 }
 
-// timeFixedComputation times a fixed computation that touches no memory.
+// timeFixedComputation times a fixed computation that doesn't access memory.
 func timeFixedComputation() time.Duration {
-	began := time.Now()
+	start := time.Now()
 	x := uint64(1)
 	for range computationRounds {
 		x ^= x << 13
 		x ^= x >> 7
 		x ^= x << 17
 	}
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	runtime.KeepAlive(x)
-	return took
+	return elapsed
 }
