--- a/internal/model/trace/doc.go
+++ b/internal/model/trace/doc.go
@@ -1,3 +1,3 @@
-// Package trace makes the load of a model: which jobs callers hand in and when, what their
-// tasks really take, and what their ends are worth.
+// Package trace generates the workload of a simulation from a seed: which jobs callers submit and
+// when, the true durations of their tasks, the value of completing them, and the faults that occur.
 package trace
--- a/internal/model/trace/fault_test.go
+++ b/internal/model/trace/fault_test.go
@@ -9,10 +9,11 @@
 	"bramleysail.example/bramleysail/internal/model/trace"
 )
 
-// A day's faults of a kind change with what else is chosen, and runs with different flags can't be compared.
+// If the faults of a kind changed with the other kinds that are requested, simulations with different
+// fault flags couldn't be compared.
 func TestFaultsIndependentOfOtherKinds(t *testing.T) {
-	d := trace.Association()
-	all := d.GenerateFaults(trace.FaultKinds(), 3)
+	s := trace.Association()
+	all := s.GenerateFaults(trace.FaultKinds(), 3)
 	for _, kind := range trace.FaultKinds() {
 		t.Run(string(kind), func(t *testing.T) {
 			var want []trace.Fault
@@ -21,51 +22,52 @@
 					want = append(want, f)
 				}
 			}
-			got := d.GenerateFaults([]trace.FaultKind{kind}, 3)
+			got := s.GenerateFaults([]trace.FaultKind{kind}, 3)
 			if len(got) == 0 || !reflect.DeepEqual(got, want) {
-				t.Errorf("%v alone, %v among all", got, want)
+				t.Errorf("%v if requested alone, %v if requested with all kinds", got, want)
 			}
 		})
 	}
-	if got := d.GenerateFaults(nil, 3); len(got) != 0 {
-		t.Errorf("%d faults though no kind was asked for", len(got))
+	if got := s.GenerateFaults(nil, 3); len(got) != 0 {
+		t.Errorf("%d faults though no kind was requested", len(got))
 	}
 }
 
+// A burst adds jobs of its kind while it is active and changes no other job.
 func TestBurstOnlyAddsJobs(t *testing.T) {
-	d := trace.Association()
+	s := trace.Association()
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	burst := trace.Fault{Kind: trace.FaultBurst, JobKind: 1, Start: 10 * time.Second, Duration: 5 * time.Second, Factor: 3}
-	plain, more := d.GenerateJobs(start, 1, 4, nil), d.GenerateJobs(start, 1, 4, []trace.Fault{burst})
-	ids := map[string]*trace.Job{}
-	for _, j := range more {
-		if ids[j.Spec.ID] != nil {
-			t.Errorf("two jobs %s", j.Spec.ID)
+	without, with := s.GenerateJobs(start, 1, 4, nil), s.GenerateJobs(start, 1, 4, []trace.Fault{burst})
+	added := map[string]*trace.Job{}
+	for _, j := range with {
+		if added[j.Spec.ID] != nil {
+			t.Errorf("two jobs with id %s", j.Spec.ID)
 		}
-		ids[j.Spec.ID] = j
+		added[j.Spec.ID] = j
 	}
-	for _, j := range plain {
-		if !reflect.DeepEqual(ids[j.Spec.ID], j) {
-			t.Errorf("job %s has changed", j.Spec.ID)
+	for _, j := range without {
+		if !reflect.DeepEqual(added[j.Spec.ID], j) {
+			t.Errorf("job %s differs from the one without the burst", j.Spec.ID)
 		}
-		delete(ids, j.Spec.ID)
+		delete(added, j.Spec.ID)
 	}
-	if len(ids) == 0 {
-		t.Error("the burst has no jobs")
+	if len(added) == 0 {
+		t.Error("the burst added no jobs")
 	}
-	for id, j := range ids {
-		if !burst.Active(j.SubmittedAt) || j.Kind != &d.JobKinds[1] {
-			t.Errorf("job %s of %s at %s is not of the burst", id, j.Kind.Name, j.SubmittedAt)
+	for id, j := range added {
+		if !burst.Active(j.SubmittedAt) || j.Kind != &s.JobKinds[1] {
+			t.Errorf("job %s of kind %s submitted at %s is not part of the burst", id, j.Kind.Name, j.SubmittedAt)
 		}
 	}
 }
 
 func TestFaultsWithinScenario(t *testing.T) {
-	for name, day := range trace.Scenarios {
-		d := day()
-		for _, f := range d.GenerateFaults(trace.FaultKinds(), 1) {
-			if f.Start >= d.Duration || f.Duration <= 0 || f.Worker >= d.WorkerCount || d.JobKinds[f.JobKind].LongRunning || !slices.Contains(trace.FaultKinds(), f.Kind) {
-				t.Errorf("%s: %+v", name, f)
+	for name, newScenario := range trace.Scenarios {
+		s := newScenario()
+		for _, f := range s.GenerateFaults(trace.FaultKinds(), 1) {
+			if f.Start >= s.Duration || f.Duration <= 0 || f.Worker >= s.WorkerCount || s.JobKinds[f.JobKind].LongRunning || !slices.Contains(trace.FaultKinds(), f.Kind) {
+				t.Errorf("scenario %s: fault out of range: %+v", name, f)
 			}
 		}
 	}
--- a/internal/model/trace/scenarios.go
+++ b/internal/model/trace/scenarios.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Association is a day of the wine registry: checks-in and audits beside watches.
+// Association returns a scenario of a wine registry: short "check-in" jobs and
+// best-effort "audit" jobs beside long-running "watch" jobs with a target of tail latency.
 func Association() *Scenario {
 	return &Scenario{
 		Name: "association", WorkerCount: 48, RackCount: 6, WorkerCPUs: []int{64000, 64000, 96000}, WorkerMem: 256000,
@@ -27,29 +28,30 @@
 	}
 }
 
-// Wildheart is a day of the gift shops: certificates and photo books beside feeds.
+// Wildheart returns a scenario of gift shops on smaller workers: short "cert-print" jobs and
+// best-effort "keeper-book" jobs beside long-running "sponsor-feed" jobs.
 func Wildheart() *Scenario {
-	d := Association()
-	d.Name, d.WorkerCPUs, d.WorkerMem = "wildheart", []int{16000, 16000, 24000}, 64000
-	d.LoadPeriod, d.StrongInterferenceShare = 10*time.Second, 0.55
-	cert, book, feed := &d.JobKinds[0], &d.JobKinds[1], &d.JobKinds[2]
+	s := Association()
+	s.Name, s.WorkerCPUs, s.WorkerMem = "wildheart", []int{16000, 16000, 24000}, 64000
+	s.LoadPeriod, s.StrongInterferenceShare = 10*time.Second, 0.55
+	cert, book, feed := &s.JobKinds[0], &s.JobKinds[1], &s.JobKinds[2]
 	cert.Name, cert.ArrivalRate, cert.TaskCPU, cert.TaskMem, cert.OnTimeValue, cert.LateValue = "cert-print", 4.7, LogNormal{1000, 0.45, 3000}, LogNormal{2000, 0.3, 4000}, 0.34, 0.051
 	book.Name, book.ArrivalRate, book.TaskCPU, book.TaskMem = "keeper-book", 5.2, LogNormal{1800, 0.3, 3600}, LogNormal{3200, 0.3, 6400}
 	book.TaskSeconds, book.OnTimeValue, book.LateValue = LogNormal{2.2, 0.5, 5.5}, 1.52, 0.227
 	feed.Name, feed.TaskCPU, feed.TaskMem, feed.OnTimeValue = "sponsor-feed", LogNormal{3200, 0.25, 5100}, LogNormal{6400, 0.3, 13000}, 0.343
 	feed.TailTarget = 24 * time.Millisecond
-	return d
+	return s
 }
 
-// Backlog is a long day of the wine registry with more audits than there is room for.
+// Backlog returns a longer variant of Association with more "audit" jobs than the workers can run.
 func Backlog() *Scenario {
-	d := Association()
-	d.Name, d.Duration = "backlog", 92*time.Second
-	audit, watch := &d.JobKinds[1], &d.JobKinds[2]
+	s := Association()
+	s.Name, s.Duration = "backlog", 92*time.Second
+	audit, watch := &s.JobKinds[1], &s.JobKinds[2]
 	audit.ArrivalRate *= 1.4
-	watch.ArrivalRate *= Association().Duration.Seconds() / d.Duration.Seconds() // as many in all: they stay
-	return d
+	watch.ArrivalRate *= Association().Duration.Seconds() / s.Duration.Seconds() // as many in total, since they run until the end
+	return s
 }
 
-// Scenarios are the days by name.
+// Scenarios holds the constructors of all scenarios by name.
 var Scenarios = map[string]func() *Scenario{"association": Association, "wildheart": Wildheart, "backlog": Backlog}
--- a/internal/model/trace/workload.go
+++ b/internal/model/trace/workload.go
@@ -10,67 +10,70 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// LogNormal is a quantity that varies: log-normal around a mean, cut at a most.
+// LogNormal is a log-normal distribution whose samples are limited to a maximum.
 type LogNormal struct {
-	Mean, Sigma, Max float64
+	Mean, Sigma, Max float64 // mean without the limit, standard deviation of the logarithm, largest sample
 }
 
-func (s LogNormal) sample(rng *rand.Rand) float64 {
-	// The mean of a log-normal with deviation d of its logarithm is exp(m + d*d/2).
-	x := s.Mean * math.Exp(s.Sigma*rng.NormFloat64()-s.Sigma*s.Sigma/2)
-	return min(x, s.Max)
+// sample draws a value.
+func (l LogNormal) sample(rng *rand.Rand) float64 {
+	// The mean of a log-normal distribution with parameters mu and sigma is exp(mu + sigma*sigma/2).
+	value := l.Mean * math.Exp(l.Sigma*rng.NormFloat64()-l.Sigma*l.Sigma/2)
+	return min(value, l.Max)
 }
 
-// JobKind is a kind of job as callers hand it in.
+// JobKind describes the jobs of one kind: their arrivals, size, duration and value. All jobs of a
+// kind go to the queue of its name.
 type JobKind struct {
 	Name              string
-	ArrivalRate       float64 // jobs a second
-	InitialJobs       int     // jobs at the start
-	StepCount         LogNormal
+	ArrivalRate       float64   // jobs per second
+	InitialJobs       int       // jobs submitted at the start
+	StepCount         LogNormal // steps of a job; each depends on the one before
 	TaskCount         LogNormal // tasks of a step
 	TaskCPU           LogNormal // millicores of a task
 	TaskMem           LogNormal // MiB of a task
-	TaskSeconds       LogNormal // seconds of a task
+	TaskSeconds       LogNormal // duration of a task at full speed, in seconds; sampled for each step, around which its tasks vary
 	Priority          int
-	DeadlineBase      time.Duration
-	StretchFactor     float64
-	OnTimeValue       float64 // of a job on time
-	LateValue         float64 // of one that is up to three times as late as its aim
-	CheckpointedShare float64 // share of jobs whose tasks save their progress
-	SpreadShare       float64 // share of jobs with few tasks on a worker
-	FailureShare      float64 // share of tasks whose first run fails
-	EstimateSigma     float64 // deviation of the callers' estimates
-	ImageCount        int
-	BestEffort        bool
-	LongRunning       bool
-	TailTarget        time.Duration // of the tail of a lasting task
+	DeadlineBase      time.Duration // part of the relative deadline that is the same for all jobs
+	StretchFactor     float64       // part of the relative deadline per length of the critical path
+	OnTimeValue       float64       // value of a job that completes on time; of a long-running job per period without violations
+	LateValue         float64       // value of a job that takes up to three times its relative deadline
+	CheckpointedShare float64       // fraction of jobs whose tasks write checkpoints
+	SpreadShare       float64       // fraction of jobs that allow only one or two tasks of a step on a worker
+	FailureShare      float64       // fraction of tasks whose first run fails
+	EstimateSigma     float64       // error of the callers' estimates, as a standard deviation of the logarithm
+	ImageCount        int           // number of images of which each job uses one; 0: none
+	BestEffort        bool          // whether the tasks are best-effort
+	LongRunning       bool          // whether the tasks run until the end of the scenario
+	TailTarget        time.Duration // target of the tail latency of a latency-critical task; 0: none
 }
 
-// Scenario is a deployment and its load.
+// Scenario describes a deployment and its load.
 type Scenario struct {
 	Name                    string
-	WorkerCount             int
-	RackCount               int   // of equal size
-	WorkerCPUs              []int // millicores of a worker, in turn
-	WorkerMem               int   // MiB of a worker
-	JobKinds                []JobKind
-	Duration                time.Duration // in which jobs come
-	LoadPeriod              time.Duration // of the load on lasting tasks
-	StrongInterferenceShare float64       // share of pairs of images that disturb much
-	MaxPressure             float64       // most that such a pair adds to the pressure, a worker's worth of use
+	WorkerCount             int           // number of workers
+	RackCount               int           // number of racks, over which the workers are spread evenly
+	WorkerCPUs              []int         // millicores of the workers, used in turn
+	WorkerMem               int           // MiB of each worker
+	JobKinds                []JobKind     // kinds of the jobs that callers submit
+	Duration                time.Duration // time in which jobs arrive
+	LoadPeriod              time.Duration // period of the load on long-running tasks
+	StrongInterferenceShare float64       // fraction of image pairs with strong interference
+	MaxPressure             float64       // most that such a pair adds to the pressure if the best-effort tasks use a whole worker
 }
 
-// Job is a job that is handed in.
+// Job is a submitted job with its true durations and failures, which the scheduler doesn't know.
 type Job struct {
 	Kind          *JobKind
-	SubmittedAt   time.Duration
-	Spec          *sched.Job
-	TaskDurations [][]time.Duration // of each step's tasks, at full speed
-	FailedRuns    [][]int           // first runs of each step's tasks that fail
-	ValueFactor   float64           // its own, beside its kind's
+	SubmittedAt   time.Duration     // since the start of the scenario
+	Spec          *sched.Job        // what the scheduler is given
+	TaskDurations [][]time.Duration // at full speed, by step and task
+	FailedRuns    [][]int           // number of first runs that fail, by step and task
+	ValueFactor   float64           // multiplies the values of the job's kind; grows with the job's work
 }
 
-// CriticalPath returns the longest chain of steps, from perfect knowledge.
+// CriticalPath returns the true length of the critical path. Each step depends on the one before,
+// so it is the sum over all steps.
 func (j *Job) CriticalPath() time.Duration {
 	var sum time.Duration
 	for i := range j.TaskDurations {
@@ -79,34 +82,37 @@
 	return sum
 }
 
-// LongestTask returns the time of a step's longest task, with the runs of it that fail.
+// LongestTask returns the duration of a step's longest task, including its failed runs.
 func (j *Job) LongestTask(step int) time.Duration {
-	var most time.Duration
-	for t, w := range j.TaskDurations[step] {
-		most = max(most, time.Duration(1+j.FailedRuns[step][t])*w)
+	var longest time.Duration
+	for t, d := range j.TaskDurations[step] {
+		longest = max(longest, time.Duration(1+j.FailedRuns[step][t])*d)
 	}
-	return most
+	return longest
 }
 
-// RelativeDeadline is the time within which the job is on time.
+// RelativeDeadline returns the duration after submission within which the job is on time.
 func (j *Job) RelativeDeadline() time.Duration {
 	return j.Kind.DeadlineBase + time.Duration(j.Kind.StretchFactor*float64(j.CriticalPath()))
 }
 
 const (
-	// baseValueFactor and workWorth are what a job is worth whatever its size, and what its work adds
-	// against the mean of its kind; mostWorth bounds both together.
+	// baseValueFactor is the part of Job.ValueFactor that doesn't depend on the job's size.
 	baseValueFactor = 0.3
+	// workValueFactor is the part that a job with the mean work of its kind adds.
 	workValueFactor = 0.7
-	maxValueFactor  = 4
+	// maxValueFactor limits the sum of both parts.
+	maxValueFactor = 4
 )
 
-// GenerateJobs returns a day's jobs with those of its bursts, the same for the same seed.
-func (d *Scenario) GenerateJobs(start time.Time, load float64, seed uint64, faults []Fault) []*Job {
+// GenerateJobs returns the jobs of the scenario and of the bursts among the faults, grouped by kind.
+// The factor load multiplies the arrival rates of all kinds but the long-running ones. The same
+// arguments give the same jobs.
+func (s *Scenario) GenerateJobs(start time.Time, load float64, seed uint64, faults []Fault) []*Job {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var all []*Job
-	for i := range d.JobKinds {
-		k := &d.JobKinds[i]
+	for i := range s.JobKinds {
+		k := &s.JobKinds[i]
 		for n := range k.InitialJobs {
 			all = append(all, k.generateJob(rng, start, 0, n))
 		}
@@ -117,22 +123,23 @@
 		at, n := 0.0, k.InitialJobs
 		for ; rate > 0; n++ {
 			at += rng.ExpFloat64() / rate
-			if at > d.Duration.Seconds() {
+			if at > s.Duration.Seconds() {
 				break
 			}
 			all = append(all, k.generateJob(rng, start, time.Duration(at*float64(time.Second)), n))
 		}
-		all = append(all, d.generateBurstJobs(i, faults, start, load, seed, n)...)
+		all = append(all, s.generateBurstJobs(i, faults, start, load, seed, n)...)
 	}
 	return all
 }
 
+// generateJob generates the nth job of the kind, submitted at the given time after the start.
 func (k *JobKind) generateJob(rng *rand.Rand, start time.Time, at time.Duration, n int) *Job {
 	id := fmt.Sprintf("%s-%d", k.Name, n)
 	j := &Job{Kind: k, SubmittedAt: at, Spec: &sched.Job{
 		ID: id, Queue: k.Name, Service: Service, Spec: id, Priority: k.Priority, MaxAttempts: 3, StretchFactor: k.StretchFactor, DeadlineBase: k.DeadlineBase, AcceptedAt: start.Add(at),
 	}}
-	saves, apart := rng.Float64() < k.CheckpointedShare, rng.Float64() < k.SpreadShare
+	checkpointed, spread := rng.Float64() < k.CheckpointedShare, rng.Float64() < k.SpreadShare
 	image := ""
 	if k.ImageCount > 0 {
 		image = fmt.Sprintf("%s-image%d", k.Name, rng.IntN(k.ImageCount))
@@ -142,36 +149,36 @@
 		count := max(1, int(math.Round(k.TaskCount.sample(rng))))
 		size := wire.Size{CPU: int(k.TaskCPU.sample(rng)), Mem: int(k.TaskMem.sample(rng))}
 		mean := k.TaskSeconds.sample(rng)
-		s := sched.Step{
-			Count: count, Size: size, Checkpointed: saves, BestEffort: k.BestEffort, LongRunning: k.LongRunning, Image: image, TailTarget: k.TailTarget,
+		step := sched.Step{
+			Count: count, Size: size, Checkpointed: checkpointed, BestEffort: k.BestEffort, LongRunning: k.LongRunning, Image: image, TailTarget: k.TailTarget,
 			Estimate: time.Duration(mean * math.Exp(k.EstimateSigma*rng.NormFloat64()) * float64(time.Second)),
 		}
-		if apart {
-			s.MaxPerWorker = 1 + rng.IntN(2)
+		if spread {
+			step.MaxPerWorker = 1 + rng.IntN(2)
 		}
 		if i > 0 {
-			s.DependsOn = []int{i - 1}
+			step.DependsOn = []int{i - 1}
 		}
-		tasks, fails := make([]time.Duration, count), make([]int, count)
-		for t := range tasks {
+		durations, failedRuns := make([]time.Duration, count), make([]int, count)
+		for t := range durations {
 			if rng.Float64() < k.FailureShare {
-				fails[t] = 1
+				failedRuns[t] = 1
 			}
-			tasks[t] = time.Duration(mean * math.Exp(taskDurationSigma*rng.NormFloat64()) * float64(time.Second))
-			work += tasks[t].Seconds() * float64(size.CPU)
+			durations[t] = time.Duration(mean * math.Exp(taskDurationSigma*rng.NormFloat64()) * float64(time.Second))
+			work += durations[t].Seconds() * float64(size.CPU)
 		}
-		j.Spec.Steps = append(j.Spec.Steps, s)
-		j.TaskDurations = append(j.TaskDurations, tasks)
-		j.FailedRuns = append(j.FailedRuns, fails)
+		j.Spec.Steps = append(j.Spec.Steps, step)
+		j.TaskDurations = append(j.TaskDurations, durations)
+		j.FailedRuns = append(j.FailedRuns, failedRuns)
 	}
-	usual := k.StepCount.Mean * k.TaskCount.Mean * k.TaskCPU.Mean * k.TaskSeconds.Mean
-	j.ValueFactor = min(maxValueFactor, baseValueFactor+workValueFactor*work/usual)
+	meanWork := k.StepCount.Mean * k.TaskCount.Mean * k.TaskCPU.Mean * k.TaskSeconds.Mean
+	j.ValueFactor = min(maxValueFactor, baseValueFactor+workValueFactor*work/meanWork)
 	return j
 }
 
 const (
-	// Service is the service whose workers run all jobs.
+	// Service is the name of the service whose workers run all jobs.
 	Service = "model"
-	// taskDurationSigma is how far the tasks of a step differ in what they take, in logarithms.
+	// taskDurationSigma is the standard deviation of the logarithm of durations among the tasks of a step.
 	taskDurationSigma = 0.15
 )
