--- a/internal/model/world/doc.go
+++ b/internal/model/world/doc.go
@@ -1,3 +1,3 @@
-// Package world models the workers that the system serves, in virtual time: tasks under way,
-// processors shared among them, users' loads that swing, and how filling tasks disturb serving ones.
+// Package world simulates the workers and their tasks in virtual time: how the tasks on a worker share
+// its CPU, the varying load on latency-critical tasks, and the interference of best-effort tasks with them.
 package world
--- a/internal/model/world/fault.go
+++ b/internal/model/world/fault.go
@@ -7,13 +7,13 @@
 	"bramleysail.example/bramleysail/internal/model/trace"
 )
 
-// ApplyFaults brings the workers into the state that the faults at this time want, and reports whether a worker has left
-// or come.
+// ApplyFaults sets the state of all workers as the faults active now require, and reports whether a worker was lost
+// or replaced.
 func (w *World) ApplyFaults(now time.Time) bool {
 	if len(w.faults) == 0 {
 		return false
 	}
-	away := map[int]bool{}
+	lost := map[int]bool{}
 	for _, k := range w.Workers {
 		k.slowdown, k.failsTasks = 1, false
 	}
@@ -31,15 +31,15 @@
 		case trace.FaultFail:
 			k.failsTasks = true
 		case trace.FaultLeave:
-			away[f.Worker] = true
+			lost[f.Worker] = true
 		}
 	}
 	changed := false
 	for i, k := range w.Workers {
 		switch {
-		case away[i] && !k.lost:
+		case lost[i] && !k.lost:
 			w.loseWorker(k)
-		case !away[i] && k.lost:
+		case !lost[i] && k.lost:
 			k.lost, k.startedAt = false, now
 			k.Member.StartedAt++
 		default:
@@ -50,7 +50,8 @@
 	return changed
 }
 
-// loseWorker drops a worker with all that runs there.
+// loseWorker removes a worker with its tasks and its unacknowledged ends. Work since the last start is lost, also
+// of checkpointed steps.
 func (w *World) loseWorker(k *Worker) {
 	for _, t := range k.Tasks {
 		if !t.Step.LongRunning {
--- a/internal/model/world/fault_test.go
+++ b/internal/model/world/fault_test.go
@@ -10,62 +10,62 @@
 	"bramleysail.example/bramleysail/internal/model/world"
 )
 
-// A task of a second of work, started as a fault begins that stays for three.
+// A task with a second of work starts at about the same time as a fault that lasts for three seconds.
 func TestFaultEffects(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		kind  trace.FaultKind
-		how   sched.End
-		after time.Duration // 0: it never ends
+		end   sched.End
+		after time.Duration // time until the end; 0: the task never ends
 	}{
-		{"sound", "", sched.EndDone, time.Second},
-		{"slow", trace.FaultSlow, sched.EndDone, 3*time.Second + 400*time.Millisecond}, // 0.6 s of work by then
+		{"no fault", "", sched.EndDone, time.Second},
+		{"slow", trace.FaultSlow, sched.EndDone, 3*time.Second + 400*time.Millisecond}, // 0.6 s of work is done when the fault ends
 		{"hang", trace.FaultHang, sched.EndDone, 4 * time.Second},
 		{"fail", trace.FaultFail, sched.EndFailed, 200 * time.Millisecond},
 		{"leave", trace.FaultLeave, "", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-			d := &trace.Scenario{WorkerCount: 1, RackCount: 1, WorkerCPUs: []int{4000}, WorkerMem: 4000, LoadPeriod: time.Second}
+			s := &trace.Scenario{WorkerCount: 1, RackCount: 1, WorkerCPUs: []int{4000}, WorkerMem: 4000, LoadPeriod: time.Second}
 			job := &trace.Job{
 				Kind: &trace.JobKind{}, TaskDurations: [][]time.Duration{{time.Second}}, FailedRuns: [][]int{{0}},
 				Spec: &sched.Job{ID: "j", Steps: []sched.Step{{Count: 1, Size: wire.Size{CPU: 1000, Mem: 1000}}}},
 			}
 			faults := []trace.Fault{{Kind: tt.kind, Start: world.Tick, Duration: 3 * time.Second, Factor: 5}}
-			w := world.New(d, start, []*trace.Job{job}, faults, 1)
+			w := world.New(s, start, []*trace.Job{job}, faults, 1)
 			k := w.Workers[0]
 			order := sched.Order{Verb: sched.VerbStart, Incarnation: k.Member.Incarnation, Task: sched.TaskID{Job: "j"}, Run: 1}
-			begin := func(now time.Time) {
+			startTask := func(now time.Time) {
 				if out := w.ExecuteOrder(now, order); out != sched.OutcomeDone {
 					t.Fatalf("start: %s", out)
 				}
 			}
 			if tt.kind != trace.FaultFail {
-				begin(start) // there as the fault begins
+				startTask(start) // the task runs when the fault begins
 			}
 			for at := world.Tick; at <= 6*time.Second; at += world.Tick {
 				now := start.Add(at)
 				w.ApplyFaults(now)
 				if at == world.Tick && tt.kind == trace.FaultFail {
-					begin(now)
+					startTask(now)
 				}
 				if len(w.Advance(now)) == 0 {
 					continue
 				}
 				f := w.AnswerPoll(now, k, 0).Finished[0]
-				if f.End != tt.how || (at-tt.after).Abs() > 2*world.Tick {
-					t.Errorf("ended as %s after %s, want %s after %s", f.End, at, tt.how, tt.after)
+				if f.End != tt.end || (at-tt.after).Abs() > 2*world.Tick {
+					t.Errorf("ended as %s after %s, want %s after %s", f.End, at, tt.end, tt.after)
 				}
 				return
 			}
 			if tt.after != 0 {
-				t.Fatal("the task hasn't ended")
+				t.Fatal("the task has not ended")
 			}
 			if k.Lost() || len(k.Tasks) != 0 || k.Member.StartedAt != 2 {
-				t.Errorf("away %v with %d tasks in life %d, want none in life 2", k.Lost(), len(k.Tasks), k.Member.StartedAt)
+				t.Errorf("worker lost: %v, with %d tasks in incarnation %d, want no tasks in incarnation 2", k.Lost(), len(k.Tasks), k.Member.StartedAt)
 			}
 			if out := w.ExecuteOrder(start.Add(7*time.Second), order); out != sched.OutcomeOtherIncarnation {
-				t.Errorf("an order to the former life: %s, want %s", out, sched.OutcomeOtherIncarnation)
+				t.Errorf("outcome of an order to the former incarnation: %s, want %s", out, sched.OutcomeOtherIncarnation)
 			}
 		})
 	}
