--- a/internal/model/trial/doc.go
+++ b/internal/model/trial/doc.go
@@ -1,3 +1,3 @@
-// Package trial plays days of a model with several policies in the same run and compares what
-// callers get.
+// Package trial simulates scenarios under several scheduling policies and compares them by the value
+// that the callers' jobs earn.
 package trial
--- a/internal/model/trial/firstfit.go
+++ b/internal/model/trial/firstfit.go
@@ -8,29 +8,31 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// firstFitPolicy is the baseline: firstFitPolicy come firstFitPolicy served, each task on the firstFitPolicy worker where what it
-// declares fits. Serving tasks count with what they use on average, so that filling ones
-// fit beside them; nothing is slowed or moved.
+// firstFitPolicy is the baseline: first come first served, each task on the first worker where its declared
+// resources fit. A best-effort task needs no declared CPU, but room beside the CPU that the other tasks use on
+// average, so that it fits beside long-running ones. The policy never throttles or stops a task.
 type firstFitPolicy struct {
-	members       []sched.Member
-	allocated     map[string]wire.Size // what is declared, filling tasks without their processors
-	expectedUsage map[string]int       // millicores likely to be used
-	ackedSeq      map[string]int64
-	jobs          []*firstFitJob
-	jobsByID      map[string]*firstFitJob
-	lastRun       int64
+	members       []sched.Member          // present workers
+	allocated     map[string]wire.Size    // declared resources of the running tasks by worker, without the CPU of best-effort ones
+	expectedUsage map[string]int          // millicores that the running tasks use on average, by worker
+	ackedSeq      map[string]int64        // sequence number of the last processed end, by worker
+	jobs          []*firstFitJob          // all jobs, in the order of submission
+	jobsByID      map[string]*firstFitJob // the same jobs by id
+	lastRun       int64                   // number of the last run
 }
 
+// firstFitJob is a job with its progress.
 type firstFitJob struct {
 	*sched.Job
-	tasksLeft  []int            // tasks of each step that aren't done
-	placements []map[int]string // worker of each task that runs, "" when it's done
+	tasksLeft  []int            // number of tasks that aren't done, by step
+	placements []map[int]string // worker of each running task, "" once it is done, by step and task
 }
 
 const (
-	// longRunningUsageShare is the share of what they declare that serving tasks use.
+	// longRunningUsageShare is the average CPU use of long-running tasks, as a share of their declared CPU.
 	longRunningUsageShare = 0.5
-	firstFitPollWait      = 1800 * time.Millisecond
+	// firstFitPollWait is how long a poll waits for the end of a run.
+	firstFitPollWait = 1800 * time.Millisecond
 )
 
 func newFirstFitPolicy(time.Time) Policy {
@@ -46,7 +48,7 @@
 	f.members = members
 }
 
-// removeWorker has the tasks of a worker that has left begun anew.
+// removeWorker forgets the tasks on a worker that has left, so that they are started again.
 func (f *firstFitPolicy) removeWorker(id string) {
 	for _, j := range f.jobs {
 		for i := range j.placements {
@@ -94,29 +96,31 @@
 	}
 }
 
+// addUsage adds the resources of a task to those of its worker (sign 1) or subtracts them (sign -1).
 func (f *firstFitPolicy) addUsage(id string, s *sched.Step, sign int) {
-	u := f.allocated[id]
-	use := s.Size.CPU
+	allocated := f.allocated[id]
+	usage := s.Size.CPU
 	if s.LongRunning {
-		use = int(longRunningUsageShare * float64(use))
+		usage = int(longRunningUsageShare * float64(usage))
 	}
-	f.expectedUsage[id] += sign * use
+	f.expectedUsage[id] += sign * usage
 	if !s.BestEffort {
-		u.CPU += sign * s.Size.CPU
+		allocated.CPU += sign * s.Size.CPU
 	}
-	u.Mem += sign * s.Size.Mem
-	f.allocated[id] = u
+	allocated.Mem += sign * s.Size.Mem
+	f.allocated[id] = allocated
 }
 
+// fits reports whether a task of a step fits on a worker.
 func (f *firstFitPolicy) fits(m sched.Member, s *sched.Step) bool {
-	z := s.Size
+	required := s.Size
 	if s.BestEffort {
-		z.CPU = 0
+		required.CPU = 0
 		if f.expectedUsage[m.ID]+s.Size.CPU > m.Size.CPU {
 			return false
 		}
 	}
-	return m.Size.Minus(f.allocated[m.ID]).Covers(z)
+	return m.Size.Minus(f.allocated[m.ID]).Covers(required)
 }
 
 func (f *firstFitPolicy) Plan(time.Time) []sched.Order {
@@ -131,6 +135,7 @@
 	return orders
 }
 
+// ready reports whether a step has tasks left and the steps that it depends on are done.
 func (j *firstFitJob) ready(i int) bool {
 	for _, a := range j.Steps[i].DependsOn {
 		if j.tasksLeft[a] > 0 {
@@ -140,6 +145,7 @@
 	return j.tasksLeft[i] > 0
 }
 
+// startTasks appends start orders for the tasks of a step that fit on a worker.
 func (f *firstFitPolicy) startTasks(j *firstFitJob, i int, orders []sched.Order) []sched.Order {
 	s := &j.Steps[i]
 	for t := range s.Count {
@@ -161,6 +167,7 @@
 	return orders
 }
 
+// tasksOn returns how many tasks of a step run on a worker.
 func (j *firstFitJob) tasksOn(step int, worker string) int {
 	n := 0
 	for _, w := range j.placements[step] {
@@ -175,7 +182,7 @@
 	if o.Verb == sched.VerbStart && out != sched.OutcomeDone {
 		j := f.jobsByID[o.Task.Job]
 		if j.placements[o.Task.Step][o.Task.Index] != o.Incarnation.ID {
-			return // lost with its worker
+			return // already removed with its worker
 		}
 		f.addUsage(o.Incarnation.ID, &j.Steps[o.Task.Step], -1)
 		delete(j.placements[o.Task.Step], o.Task.Index)
--- a/internal/model/trial/ideal.go
+++ b/internal/model/trial/ideal.go
@@ -8,77 +8,80 @@
 	"bramleysail.example/bramleysail/internal/model/world"
 )
 
-// simulateIdeal plays a day with all workers as one without faults, which knows what each task takes and where
-// nothing disturbs anything: what no scheduler exceeds by much. Lasting tasks are always at
-// work; the rest is ordered by the latest start with which a job is on time.
-func simulateIdeal(d *trace.Scenario, jobs []*trace.Job, start time.Time) *Result {
-	res := &Result{}
+// simulateIdeal computes an upper bound that no scheduler exceeds by much. It treats all workers as one without
+// faults or interference and knows the true duration of each task. Long-running tasks are always ready; the other
+// jobs are ordered by the latest start with which they are on time.
+func simulateIdeal(s *trace.Scenario, jobs []*trace.Job, start time.Time) *Result {
+	result := &Result{}
 	cores := 0.0
-	for i := range d.WorkerCount {
-		cores += float64(d.WorkerCPUs[i%len(d.WorkerCPUs)])
+	for i := range s.WorkerCount {
+		cores += float64(s.WorkerCPUs[i%len(s.WorkerCPUs)])
 	}
-	var all []*idealJob
+	var upcoming []*idealJob
 	for _, j := range jobs {
 		if !j.Kind.LongRunning {
-			all = append(all, &idealJob{Job: j})
+			upcoming = append(upcoming, &idealJob{Job: j})
 			continue
 		}
 		cores -= longRunningUsageShare * float64(j.Spec.Steps[0].Count*j.Spec.Steps[0].Size.CPU)
-		t := res.tallyOf(j.Kind.Name)
-		for at := max(warmup, j.SubmittedAt); at < d.Duration; {
-			next := min(at.Truncate(valueWindow)+valueWindow, d.Duration)
-			worth := (next - at).Seconds() / longRunningValuePeriod.Seconds() * j.Kind.OnTimeValue
-			res.addValue(t, at, worth, worth)
+		t := result.tallyOf(j.Kind.Name)
+		for at := max(warmup, j.SubmittedAt); at < s.Duration; {
+			next := min(at.Truncate(valueWindow)+valueWindow, s.Duration)
+			value := (next - at).Seconds() / longRunningValuePeriod.Seconds() * j.Kind.OnTimeValue
+			result.addValue(t, at, value, value)
 			at = next
 		}
 	}
-	var open []*idealJob
-	for at := time.Duration(0); at < d.Duration+drainTime; at += world.Tick {
-		for len(all) > 0 && all[0].SubmittedAt <= at {
-			open = append(open, all[0])
-			all = all[1:]
+	var unfinished []*idealJob
+	for at := time.Duration(0); at < s.Duration+drainTime; at += world.Tick {
+		for len(upcoming) > 0 && upcoming[0].SubmittedAt <= at {
+			unfinished = append(unfinished, upcoming[0])
+			upcoming = upcoming[1:]
 		}
-		slices.SortStableFunc(open, func(a, b *idealJob) int { return int(a.latestStart(at) - b.latestStart(at)) })
-		rest := open[:0]
-		for _, j := range open {
+		slices.SortStableFunc(unfinished, func(a, b *idealJob) int { return int(a.latestStart(at) - b.latestStart(at)) })
+		remaining := unfinished[:0]
+		for _, j := range unfinished {
 			if !j.advance(at, &cores) {
-				rest = append(rest, j)
+				remaining = append(remaining, j)
 				continue
 			}
-			res.addCompleted(j.Job, at-j.SubmittedAt)
+			result.addCompleted(j.Job, at-j.SubmittedAt)
 		}
-		open = rest
+		unfinished = remaining
 	}
-	for _, j := range open {
-		res.addUnfinished(j.Job)
+	for _, j := range unfinished {
+		result.addUnfinished(j.Job)
 	}
-	res.worstWindowShares = []float64{res.worstWindowShare()}
-	return res
+	result.worstWindowShares = []float64{result.worstWindowShare()}
+	return result
 }
 
-// idealJob is a job with the times at which the tasks of its present step end.
+// idealJob is a job with its progress.
 type idealJob struct {
 	*trace.Job
-	currentStep int
-	taskEnds    []time.Duration
+	currentStep int             // index of the step in progress
+	taskEnds    []time.Duration // when the started tasks of this step end, since the start of the scenario; -1: ended
 }
 
-// missedDeadlineOffset moves a job that can't be on time any more behind those that can.
+// missedDeadlineOffset sorts jobs that can no longer be on time behind those that can.
 const missedDeadlineOffset = time.Hour
 
+// latestStart returns the latest start of the remaining steps with which the job is on time. It adds
+// missedDeadlineOffset if that has passed and no task of the current step has started.
 func (j *idealJob) latestStart(at time.Duration) time.Duration {
-	left := time.Duration(0)
+	remaining := time.Duration(0)
 	for i := j.currentStep; i < len(j.TaskDurations); i++ {
-		left += j.LongestTask(i)
+		remaining += j.LongestTask(i)
 	}
-	l := j.SubmittedAt + j.RelativeDeadline() - left
-	if len(j.taskEnds) == 0 && l < at {
-		l += missedDeadlineOffset
+	latest := j.SubmittedAt + j.RelativeDeadline() - remaining
+	if len(j.taskEnds) == 0 && latest < at {
+		latest += missedDeadlineOffset
 	}
-	return l
+	return latest
 }
 
-// advance starts what fits and reports whether the job has ended.
+// advance starts the tasks of the current step for which there are cores and ends those that are done. It reports
+// whether the job has completed.
 func (j *idealJob) advance(at time.Duration, cores *float64) bool {
 	s := &j.Job.Spec.Steps[j.currentStep]
 	for len(j.taskEnds) < s.Count && *cores >= float64(s.Size.CPU) {
@@ -86,18 +89,18 @@
 		t := len(j.taskEnds)
 		j.taskEnds = append(j.taskEnds, at+time.Duration(1+j.FailedRuns[j.currentStep][t])*j.TaskDurations[j.currentStep][t])
 	}
-	left := s.Count - len(j.taskEnds)
-	for i, e := range j.taskEnds {
+	unfinished := s.Count - len(j.taskEnds)
+	for i, end := range j.taskEnds {
 		switch {
-		case e < 0:
-		case e <= at:
+		case end < 0:
+		case end <= at:
 			j.taskEnds[i] = -1
 			*cores += float64(s.Size.CPU)
 		default:
-			left++
+			unfinished++
 		}
 	}
-	if left > 0 {
+	if unfinished > 0 {
 		return false
 	}
 	j.currentStep, j.taskEnds = j.currentStep+1, nil
--- a/internal/model/trial/plot.go
+++ b/internal/model/trial/plot.go
@@ -8,14 +8,14 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// Room around the plot, in pixels; the legend stands above it.
+// Space around the plot in pixels; the legend is above it.
 const (
 	legendHeight = 50
 	margin       = 20
 )
 
-// Plot draws the share of the worth that each policy earned against the load, as SVG. It needs
-// rows of two loads or more.
+// Plot draws the value share of each policy against the load, as SVG. It needs rows of at least two loads for each
+// policy.
 func Plot(out io.Writer, rows []Row) error {
 	var names []string
 	lines := map[string]*chart.ContinuousSeries{}
@@ -37,7 +37,7 @@
 	}
 	for _, name := range names {
 		if len(lines[name].XValues) < 2 {
-			return errors.Wrap(ErrInvalidConfig, "a plot needs two loads or more")
+			return errors.Wrap(ErrInvalidConfig, "a plot needs at least two loads")
 		}
 		graph.Series = append(graph.Series, *lines[name])
 	}
--- a/internal/model/trial/policy.go
+++ b/internal/model/trial/policy.go
@@ -8,33 +8,39 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// Policy decides what runs where.
+// Policy decides which tasks run on which workers.
 type Policy interface {
+	// UpdateWorkers passes the workers that the directory lists at present.
 	UpdateWorkers(now time.Time, members []sched.Member)
+	// AddJob passes a submitted job.
 	AddJob(now time.Time, j *sched.Job)
-	// NextPoll returns how long to wait for an end, and up to which end the worker may forget.
+	// NextPoll returns how long a worker's next poll may wait for the end of a run, and up to which sequence
+	// number the worker may forget ended runs.
 	NextPoll(now time.Time, id string) (wait time.Duration, acked int64)
-	// PollFailed tells that a poll of a worker was not answered.
+	// PollFailed reports that a worker didn't answer a poll.
 	PollFailed(now time.Time, worker sched.Incarnation)
+	// HandleReport passes a worker's answer to the poll that was sent at the given time.
 	HandleReport(sent, now time.Time, id string, rep sched.Report)
+	// Plan returns the orders to send now.
 	Plan(now time.Time) []sched.Order
+	// HandleOutcome passes the outcome of an order.
 	HandleOutcome(now time.Time, o sched.Order, out sched.Outcome)
-	// Completed reports whether a job is shown as completed.
+	// Completed reports whether the policy knows that a job has completed.
 	Completed(id string) bool
 	// Failed reports whether a job has ended without success.
 	Failed(id string) bool
 }
 
-// productPolicy is the productPolicy's own core; what has changed counts as stored at once.
+// productPolicy runs the scheduler's own core. Its changes count as stored at once.
 type productPolicy struct {
 	core *sched.Core
 }
 
-// Times of a core in a model, as on the users' platform.
+// Options of the core, as on the users' platform.
 const (
 	workerLease    = 5500 * time.Millisecond
 	maxStopTime    = 400 * time.Millisecond
-	maxUnconfirmed = time.Hour // no other holder, no outage of the store
+	maxUnconfirmed = time.Hour // longer than any scenario: there is no other holder and no outage of the store
 )
 
 func newProductPolicy(now time.Time) Policy {
@@ -50,8 +56,8 @@
 
 func (p *productPolicy) NextPoll(now time.Time, id string) (time.Duration, int64) {
 	p.core.ConfirmHolder(now)
-	l, _ := p.core.NextPoll(now, id)
-	return l.Wait, l.AckedSeq
+	poll, _ := p.core.NextPoll(now, id)
+	return poll.Wait, poll.AckedSeq
 }
 
 func (p *productPolicy) PollFailed(now time.Time, w sched.Incarnation) {
@@ -70,11 +76,11 @@
 	return orders
 }
 
-// commitChanges has everything that has changed counted as stored.
+// commitChanges collects all changes and marks them as stored. A job's progress can always be encoded.
 func (p *productPolicy) commitChanges() {
 	b, err := p.core.CollectChanges(int(^uint(0) >> 1))
 	if err != nil {
-		panic(errors.Wrap(err, "trial: a job's progress can always be encoded"))
+		panic(errors.Wrap(err, "trial: encode a job's progress"))
 	}
 	p.core.MarkCommitted(b)
 }
--- a/internal/model/trial/simulation.go
+++ b/internal/model/trial/simulation.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	// warmup is how long the day has gone on when counting begins: lasting tasks are
-	// there and the first readings were taken.
+	// warmup is the time after which the value of long-running jobs is counted: by then their tasks are ready and the
+	// first measurements have been taken.
 	warmup = 5 * time.Second
-	// drainTime is how long jobs are waited for after the last has come.
+	// drainTime is how long a simulation continues after the last arrival, so that jobs can complete.
 	drainTime = 14 * time.Second
-	// longRunningValuePeriod is the time for which a lasting job earns at once.
+	// longRunningValuePeriod is the time in which a long-running job can earn the value of its kind once.
 	longRunningValuePeriod = 2 * time.Second
-	// interferencePenalty is how many times a lasting task over its target counts when that is due to the
-	// filling tasks beside it.
+	// interferencePenalty is the weight of a latency-critical task that is over its target because of the best-effort
+	// tasks on its worker; other violations have the weight 1.
 	interferencePenalty = 4
-	// maxLateFactor is how many times its objective a job may take to earn as a late one.
+	// maxLateFactor is the multiple of its relative deadline within which a late job still has a value.
 	maxLateFactor = 3
-	// planInterval and answerIn are the time between plans without an event, and that between an
-	// order or a poll and its answer.
+	// planInterval is the time between plans without an event, and answerDelay the time between an order or a
+	// poll and its answer.
 	planInterval = 100 * time.Millisecond
 	answerDelay  = world.Tick
 )
 
-// Result is what a day's callers got.
+// Result holds the outcome of one or more simulations.
 type Result struct {
-	Kinds             map[string]*Tally
-	WastedCoreSeconds float64 // core-seconds worked in vain
-	StopOrders        int     // filling tasks that were stopped and begun anew
+	Kinds             map[string]*Tally // by kind of jobs
+	WastedCoreSeconds float64           // core-seconds of work that was neither completed nor saved
+	StopOrders        int               // number of stop orders: best-effort tasks that were preempted to be started again
 
-	windows           []Tally   // of the day, by when jobs were handed in
-	worstWindowShares []float64 // what the worst windows of each day earned
+	windows           []Tally   // value by window of one simulation; a job that is not long-running counts in the window of its submission
+	worstWindowShares []float64 // value share of the worst windows of each simulation
 }
 
-// Tally is what the callers of a kind got.
+// Tally counts the jobs of a kind and their value.
 type Tally struct {
-	PossibleValue, EarnedValue float64
-	Jobs, OnTime, Late         int
-	TurnaroundTimes            []time.Duration // from handing in to the end, of the jobs that ended
-	MaxStall                   time.Duration   // longest that a job with waiting tasks had nothing running
-	MaxStallAtEnd              time.Duration   // the same in the last seconds of the day
+	PossibleValue, EarnedValue float64         // value if every job were on time; value that was earned
+	Jobs, OnTime, Late         int             // jobs that aren't long-running; those on time; those late with a value
+	TurnaroundTimes            []time.Duration // from submission to completion, of the completed jobs
+	MaxStall                   time.Duration   // longest time for which an unfinished job had no running task
+	MaxStallAtEnd              time.Duration   // the same within finalPeriod
 }
 
-// Add adds another day's result.
+// Add adds the result of another simulation.
 func (r *Result) Add(o *Result) {
 	for name, t := range o.Kinds {
 		s := r.tallyOf(name)
@@ -64,6 +64,7 @@
 	r.StopOrders += o.StopOrders
 }
 
+// tallyOf returns the tally of a kind of jobs and creates it if needed.
 func (r *Result) tallyOf(name string) *Tally {
 	if r.Kinds == nil {
 		r.Kinds = map[string]*Tally{}
@@ -76,200 +77,203 @@
 	return t
 }
 
-// addCompleted counts a job that was completed within a time.
+// addCompleted counts a job that was completed with the given turnaround time.
 func (r *Result) addCompleted(j *trace.Job, took time.Duration) {
 	t := r.tallyOf(j.Kind.Name)
 	t.Jobs++
 	t.TurnaroundTimes = append(t.TurnaroundTimes, took)
 	earned := 0.0
-	switch goal := j.RelativeDeadline(); {
-	case took <= goal:
+	switch deadline := j.RelativeDeadline(); {
+	case took <= deadline:
 		t.OnTime++
 		earned = j.Kind.OnTimeValue * j.ValueFactor
-	case took <= maxLateFactor*goal:
+	case took <= maxLateFactor*deadline:
 		t.Late++
 		earned = j.Kind.LateValue * j.ValueFactor
 	}
 	r.addValue(t, j.SubmittedAt, j.Kind.OnTimeValue*j.ValueFactor, earned)
 }
 
-// addUnfinished counts a job that wasn't completed.
+// addUnfinished counts a job that wasn't completed by the end of the simulation.
 func (r *Result) addUnfinished(j *trace.Job) {
 	t := r.tallyOf(j.Kind.Name)
 	t.Jobs++
 	r.addValue(t, j.SubmittedAt, j.Kind.OnTimeValue*j.ValueFactor, 0)
 }
 
-// ValueShare returns the share of what was owed that was earned.
+// ValueShare returns the earned value of all kinds as a share of the possible value.
 func (r *Result) ValueShare() float64 {
-	owed, earned := 0.0, 0.0
+	possible, earned := 0.0, 0.0
 	for _, t := range r.Kinds {
-		owed += t.PossibleValue
+		possible += t.PossibleValue
 		earned += t.EarnedValue
 	}
-	return earned / max(owed, 1e-9)
+	return earned / max(possible, 1e-9)
 }
 
-// simulation is a simulation under way.
+// simulation is the state of one scenario under one policy and seed.
 type simulation struct {
 	world          *world.World
 	policy         Policy
-	upcoming       []*trace.Job
-	unfinished     []*trace.Job // handed in and not seen completed
-	polls          []poll
-	ordersInFlight []sched.Order // on their way
-	planRequested  bool
-	result         *Result
-	lastRan        map[string]time.Time // when a task of a job last ran, or it was handed in
+	upcoming       []*trace.Job         // jobs not submitted yet, in the order of submission
+	unfinished     []*trace.Job         // submitted jobs that the policy hasn't shown as completed
+	polls          []poll               // the poll in progress at each worker, in the order of world.Workers
+	ordersInFlight []sched.Order        // orders of the last plan, not executed yet
+	planRequested  bool                 // whether an event since the last plan asks for a new one
+	result         *Result              // what was counted so far
+	lastRan        map[string]time.Time // when a task of a job last ran, or else when the job was submitted, by job id
 }
 
-// poll is a poll under way at a worker, in the workers' order.
+// poll is a poll in progress at a worker.
 type poll struct {
-	sentAt, answerAt          time.Time
-	ackedSeq, workerStartedAt int64
+	sentAt, answerAt          time.Time // when it was sent; when the worker answers
+	ackedSeq, workerStartedAt int64     // last acknowledged end; incarnation that was polled
 }
 
-// simulate plays a day's jobs with a policy.
-func simulate(d *trace.Scenario, jobs []*trace.Job, faults []trace.Fault, start time.Time, seed uint64, policy func(time.Time) Policy) *Result {
-	p := &simulation{world: world.New(d, start, jobs, faults, seed), policy: policy(start), upcoming: jobs, result: &Result{}, lastRan: map[string]time.Time{}}
-	p.policy.UpdateWorkers(start, p.world.Members())
-	p.polls = make([]poll, len(p.world.Workers))
-	for i := range p.polls {
-		p.polls[i] = poll{sentAt: start, answerAt: start, workerStartedAt: p.world.Workers[i].Member.StartedAt}
+// simulate runs a scenario's jobs under a policy until drainTime after the scenario's end.
+func simulate(scenario *trace.Scenario, jobs []*trace.Job, faults []trace.Fault, start time.Time, seed uint64, newPolicy func(time.Time) Policy) *Result {
+	s := &simulation{world: world.New(scenario, start, jobs, faults, seed), policy: newPolicy(start), upcoming: jobs, result: &Result{}, lastRan: map[string]time.Time{}}
+	s.policy.UpdateWorkers(start, s.world.Members())
+	s.polls = make([]poll, len(s.world.Workers))
+	for i := range s.polls {
+		s.polls[i] = poll{sentAt: start, answerAt: start, workerStartedAt: s.world.Workers[i].Member.StartedAt}
 	}
-	end := start.Add(d.Duration + drainTime)
-	planned := start
+	end := start.Add(scenario.Duration + drainTime)
+	lastPlan := start
 	for now := start; now.Before(end); now = now.Add(world.Tick) {
-		if p.world.ApplyFaults(now) {
-			p.policy.UpdateWorkers(now, p.world.Members())
-			p.planRequested = true
+		if s.world.ApplyFaults(now) {
+			s.policy.UpdateWorkers(now, s.world.Members())
+			s.planRequested = true
 		}
-		p.submitJobs(now, start)
-		p.executeOrders(now)
-		if p.planRequested || now.Sub(planned) >= planInterval {
-			planned, p.planRequested = now, false
-			p.ordersInFlight = p.policy.Plan(now)
+		s.submitJobs(now, start)
+		s.executeOrders(now)
+		if s.planRequested || now.Sub(lastPlan) >= planInterval {
+			lastPlan, s.planRequested = now, false
+			s.ordersInFlight = s.policy.Plan(now)
 		}
-		for _, k := range p.world.Advance(now) {
-			p.hastenPollAnswer(now, k)
+		for _, k := range s.world.Advance(now) {
+			s.hastenPollAnswer(now, k)
 		}
-		p.answerPolls(now)
-		p.recordCompleted(now, start)
+		s.answerPolls(now)
+		s.recordCompleted(now, start)
 		if now.Sub(start)%planInterval == 0 {
-			p.recordStalls(now, end)
+			s.recordStalls(now, end)
 		}
-		if now.Sub(start) > warmup && now.Sub(start) < d.Duration {
-			p.addLongRunningValue(now, start)
+		if now.Sub(start) > warmup && now.Sub(start) < scenario.Duration {
+			s.addLongRunningValue(now, start)
 		}
 	}
-	p.recordUnfinished()
-	p.result.worstWindowShares = []float64{p.result.worstWindowShare()}
-	p.result.WastedCoreSeconds = p.world.WastedCoreSeconds
-	return p.result
+	s.recordUnfinished()
+	s.result.worstWindowShares = []float64{s.result.worstWindowShare()}
+	s.result.WastedCoreSeconds = s.world.WastedCoreSeconds
+	return s.result
 }
 
-func (p *simulation) submitJobs(now, start time.Time) {
-	for len(p.upcoming) > 0 && !now.Before(start.Add(p.upcoming[0].SubmittedAt)) {
-		j := p.upcoming[0]
-		p.upcoming = p.upcoming[1:]
-		p.policy.AddJob(now, j.Spec)
-		p.unfinished = append(p.unfinished, j)
-		p.lastRan[j.Spec.ID] = now
-		p.planRequested = true
+// submitJobs submits the jobs that are due.
+func (s *simulation) submitJobs(now, start time.Time) {
+	for len(s.upcoming) > 0 && !now.Before(start.Add(s.upcoming[0].SubmittedAt)) {
+		j := s.upcoming[0]
+		s.upcoming = s.upcoming[1:]
+		s.policy.AddJob(now, j.Spec)
+		s.unfinished = append(s.unfinished, j)
+		s.lastRan[j.Spec.ID] = now
+		s.planRequested = true
 	}
 }
 
-// executeOrders has the orders of the last plan carried out.
-func (p *simulation) executeOrders(now time.Time) {
-	for _, o := range p.ordersInFlight {
-		out := p.world.ExecuteOrder(now, o)
-		p.policy.HandleOutcome(now, o, out)
-		p.planRequested = p.planRequested || out != sched.OutcomeDone
+// executeOrders executes the orders of the last plan and passes their outcomes to the policy.
+func (s *simulation) executeOrders(now time.Time) {
+	for _, o := range s.ordersInFlight {
+		out := s.world.ExecuteOrder(now, o)
+		s.policy.HandleOutcome(now, o, out)
+		s.planRequested = s.planRequested || out != sched.OutcomeDone
 		if o.Verb == sched.VerbStop {
-			p.result.StopOrders++
+			s.result.StopOrders++
 		}
 	}
-	p.ordersInFlight = nil
+	s.ordersInFlight = nil
 }
 
-// hastenPollAnswer has the poll of a worker on which something ended answered.
-func (p *simulation) hastenPollAnswer(now time.Time, k *world.Worker) {
-	for i, w := range p.world.Workers {
-		if w == k && p.polls[i].answerAt.After(now.Add(answerDelay)) {
-			p.polls[i].answerAt = now.Add(answerDelay)
+// hastenPollAnswer makes a worker on which a run ended answer its poll after answerDelay.
+func (s *simulation) hastenPollAnswer(now time.Time, k *world.Worker) {
+	for i, w := range s.world.Workers {
+		if w == k && s.polls[i].answerAt.After(now.Add(answerDelay)) {
+			s.polls[i].answerAt = now.Add(answerDelay)
 		}
 	}
 }
 
-func (p *simulation) answerPolls(now time.Time) {
-	for i, k := range p.world.Workers {
-		l := &p.polls[i]
-		if now.Before(l.answerAt) {
+// answerPolls answers the polls that are due and sends the next ones. A poll of a lost worker fails.
+func (s *simulation) answerPolls(now time.Time) {
+	for i, k := range s.world.Workers {
+		pending := &s.polls[i]
+		if now.Before(pending.answerAt) {
 			continue
 		}
 		if k.Lost() {
-			p.policy.PollFailed(now, k.Member.Incarnation)
-			*l = poll{sentAt: now, answerAt: now.Add(planInterval)}
+			s.policy.PollFailed(now, k.Member.Incarnation)
+			*pending = poll{sentAt: now, answerAt: now.Add(planInterval)}
 			continue
 		}
-		if k.Member.StartedAt != l.workerStartedAt { // the poll under way was one of the former life
-			*l = poll{sentAt: now, workerStartedAt: k.Member.StartedAt}
+		if k.Member.StartedAt != pending.workerStartedAt { // the poll was sent to the former incarnation
+			*pending = poll{sentAt: now, workerStartedAt: k.Member.StartedAt}
 		}
-		p.policy.HandleReport(l.sentAt, now, k.Member.ID, p.world.AnswerPoll(now, k, l.ackedSeq))
-		p.planRequested = true
-		wait, acked := p.policy.NextPoll(now, k.Member.ID)
-		*l = poll{sentAt: now, answerAt: now.Add(max(wait, answerDelay)), ackedSeq: acked, workerStartedAt: l.workerStartedAt}
+		s.policy.HandleReport(pending.sentAt, now, k.Member.ID, s.world.AnswerPoll(now, k, pending.ackedSeq))
+		s.planRequested = true
+		wait, acked := s.policy.NextPoll(now, k.Member.ID)
+		*pending = poll{sentAt: now, answerAt: now.Add(max(wait, answerDelay)), ackedSeq: acked, workerStartedAt: pending.workerStartedAt}
 	}
 }
 
-// recordCompleted counts the jobs that have ended.
-func (p *simulation) recordCompleted(now, start time.Time) {
-	rest := p.unfinished[:0]
-	for _, j := range p.unfinished {
-		if j.Kind.LongRunning || !p.policy.Completed(j.Spec.ID) {
-			rest = append(rest, j)
+// recordCompleted counts the jobs that have completed and removes them from the unfinished ones.
+func (s *simulation) recordCompleted(now, start time.Time) {
+	unfinished := s.unfinished[:0]
+	for _, j := range s.unfinished {
+		if j.Kind.LongRunning || !s.policy.Completed(j.Spec.ID) {
+			unfinished = append(unfinished, j)
 			continue
 		}
-		p.result.addCompleted(j, now.Sub(start.Add(j.SubmittedAt)))
+		s.result.addCompleted(j, now.Sub(start.Add(j.SubmittedAt)))
 	}
-	p.unfinished = rest
+	s.unfinished = unfinished
 }
 
-// recordUnfinished counts the jobs that haven't ended.
-func (p *simulation) recordUnfinished() {
-	for _, j := range p.unfinished {
+// recordUnfinished counts the jobs that didn't complete, except for the long-running ones.
+func (s *simulation) recordUnfinished() {
+	for _, j := range s.unfinished {
 		if j.Kind.LongRunning {
 			continue
 		}
-		p.result.addUnfinished(j)
+		s.result.addUnfinished(j)
 	}
 }
 
-// addLongRunningValue counts a Tick of the lasting jobs.
-func (p *simulation) addLongRunningValue(now, start time.Time) {
-	working, over, blamed := map[string]int{}, map[string]int{}, map[string]int{}
-	for _, k := range p.world.Workers {
+// addLongRunningValue counts one Tick of the value of the long-running jobs. A job earns the share of its tasks that
+// are ready and within their target; violations caused by interference reduce it by interferencePenalty.
+func (s *simulation) addLongRunningValue(now, start time.Time) {
+	ready, overTarget, overByInterference := map[string]int{}, map[string]int{}, map[string]int{}
+	for _, k := range s.world.Workers {
 		for _, t := range k.Tasks {
 			if !t.Step.LongRunning || !t.Ready(now) {
 				continue
 			}
-			working[t.ID.Job]++
+			ready[t.ID.Job]++
 			switch {
 			case t.OverByInterference:
-				blamed[t.ID.Job]++
+				overByInterference[t.ID.Job]++
 			case t.OverTarget:
-				over[t.ID.Job]++
+				overTarget[t.ID.Job]++
 			}
 		}
 	}
-	part := world.Tick.Seconds() / longRunningValuePeriod.Seconds()
-	for _, j := range p.unfinished {
+	periods := world.Tick.Seconds() / longRunningValuePeriod.Seconds()
+	for _, j := range s.unfinished {
 		if !j.Kind.LongRunning {
 			continue
 		}
-		t := p.result.tallyOf(j.Kind.Name)
+		t := s.result.tallyOf(j.Kind.Name)
 		id, n := j.Spec.ID, float64(j.Spec.Steps[0].Count)
-		got := (float64(working[id]) - float64(over[id]) - interferencePenalty*float64(blamed[id])) / n
-		p.result.addValue(t, now.Sub(start), part*j.Kind.OnTimeValue, part*j.Kind.OnTimeValue*max(0, got))
+		earnedShare := (float64(ready[id]) - float64(overTarget[id]) - interferencePenalty*float64(overByInterference[id])) / n
+		s.result.addValue(t, now.Sub(start), periods*j.Kind.OnTimeValue, periods*j.Kind.OnTimeValue*max(0, earnedShare))
 	}
 }
--- a/internal/model/trial/trial.go
+++ b/internal/model/trial/trial.go
@@ -13,115 +13,117 @@
 	"bramleysail.example/bramleysail/internal/model/trace"
 )
 
-// ErrInvalidConfig wraps every error about what a trial is to play.
-var ErrInvalidConfig = errors.New("trial: invalid plan")
+// ErrInvalidConfig is wrapped by every error about an invalid configuration.
+var ErrInvalidConfig = errors.New("trial: invalid configuration")
 
-// Names of the policies.
+// The names of the policies.
 const (
-	PolicyProduct  = "product" // the product's own core
-	PolicyFirstFit = "first"   // first come first served, first fit
-	PolicyIdeal    = "ideal"   // one worker, perfect knowledge, no disturbance: the limit
+	PolicyProduct  = "product" // the scheduler of this project
+	PolicyFirstFit = "first"   // baseline: first come first served, each task on the first worker with room
+	PolicyIdeal    = "ideal"   // upper bound: one large worker, perfect knowledge, no interference, no faults
 )
 
-// Config is what to play.
+// Config says what to simulate.
 type Config struct {
-	Scenario string
-	Loads    []float64 // against the day's own; 1: as measured
-	Seeds    int
-	Policies []string
-	Faults   []string // kinds; none: all workers are sound
+	Scenario string    // name of the scenario
+	Loads    []float64 // factors of the scenario's arrival rates; 1: unchanged
+	Seeds    int       // number of seeds to simulate for each load and policy
+	Policies []string  // names of the policies
+	Faults   []string  // kinds of faults; empty: no faults
 }
 
-// Validate returns an error that names the first thing wrong with the plan.
-func (p *Config) Validate() error {
-	if trace.Scenarios[p.Scenario] == nil {
-		return errors.Wrapf(ErrInvalidConfig, "no day %q; there are association, wildheart and backlog", p.Scenario)
+// Validate returns an error that names the first invalid setting, or nil.
+func (c *Config) Validate() error {
+	if trace.Scenarios[c.Scenario] == nil {
+		return errors.Wrapf(ErrInvalidConfig, "no day %q; known are association, wildheart and backlog", c.Scenario)
 	}
-	if p.Seeds < 1 || p.Seeds > 1000 {
-		return errors.Wrapf(ErrInvalidConfig, "%d seeds, allowed are 1 to 1000", p.Seeds)
+	if c.Seeds < 1 || c.Seeds > 1000 {
+		return errors.Wrapf(ErrInvalidConfig, "%d seeds, must be 1 to 1000", c.Seeds)
 	}
-	for _, l := range p.Loads {
+	for _, l := range c.Loads {
 		if !(l > 0 && l <= 10) {
-			return errors.Wrapf(ErrInvalidConfig, "load %g, allowed is above 0 and up to 10", l)
+			return errors.Wrapf(ErrInvalidConfig, "load %g, must be above 0 and at most 10", l)
 		}
 	}
-	for _, name := range p.Policies {
+	for _, name := range c.Policies {
 		if name != PolicyProduct && name != PolicyFirstFit && name != PolicyIdeal {
-			return errors.Wrapf(ErrInvalidConfig, "no policy %q; there are %s, %s and %s", name, PolicyProduct, PolicyFirstFit, PolicyIdeal)
+			return errors.Wrapf(ErrInvalidConfig, "no policy %q; known are %s, %s and %s", name, PolicyProduct, PolicyFirstFit, PolicyIdeal)
 		}
 	}
-	for _, name := range p.Faults {
+	for _, name := range c.Faults {
 		if !slices.Contains(trace.FaultKinds(), trace.FaultKind(name)) {
-			return errors.Wrapf(ErrInvalidConfig, "no fault %q; there are %v", name, trace.FaultKinds())
+			return errors.Wrapf(ErrInvalidConfig, "no fault %q; known are %v", name, trace.FaultKinds())
 		}
 	}
 	return nil
 }
 
-// Row is the result of a policy at a load, over all seeds.
+// Row holds the result of a policy at a load.
 type Row struct {
-	Load   float64
-	Policy string
-	Result *Result
+	Load   float64 // factor of the arrival rates
+	Policy string  // name of the policy
+	Result *Result // sum over all seeds
 }
 
-// maxParallelRuns is how many days are played at once.
+// maxParallelRuns is how many seeds are simulated at once.
 const maxParallelRuns = 4
 
-// Run plays the plan; the same plan gives the same rows.
-func Run(p Config) ([]Row, error) {
-	if err := p.Validate(); err != nil {
+// Run simulates each policy at each load. The same configuration gives the same rows.
+func Run(c Config) ([]Row, error) {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
 	var rows []Row
-	for _, load := range p.Loads {
-		for _, name := range p.Policies {
-			rows = append(rows, Row{load, name, p.runSeeds(load, name)})
+	for _, load := range c.Loads {
+		for _, name := range c.Policies {
+			rows = append(rows, Row{load, name, c.runSeeds(load, name)})
 		}
 	}
 	return rows, nil
 }
 
-func (p *Config) runSeeds(load float64, policy string) *Result {
-	days := make([]*Result, p.Seeds)
+// runSeeds simulates all seeds and returns the sum of their results.
+func (c *Config) runSeeds(load float64, policy string) *Result {
+	results := make([]*Result, c.Seeds)
 	var wg sync.WaitGroup
-	turns := make(chan struct{}, maxParallelRuns)
-	for i := range days {
+	slots := make(chan struct{}, maxParallelRuns)
+	for i := range results {
 		wg.Go(func() {
-			turns <- struct{}{}
-			defer func() { <-turns }()
-			days[i] = p.runSeed(load, policy, uint64(i))
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			results[i] = c.runSeed(load, policy, uint64(i))
 		})
 	}
 	wg.Wait()
 	sum := &Result{}
-	for _, r := range days {
+	for _, r := range results {
 		sum.Add(r)
 	}
 	return sum
 }
 
-func (p *Config) runSeed(load float64, policy string, seed uint64) *Result {
-	d := trace.Scenarios[p.Scenario]()
+// runSeed simulates one seed.
+func (c *Config) runSeed(load float64, policy string, seed uint64) *Result {
+	s := trace.Scenarios[c.Scenario]()
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var kinds []trace.FaultKind
-	for _, name := range p.Faults {
+	for _, name := range c.Faults {
 		kinds = append(kinds, trace.FaultKind(name))
 	}
-	faults := d.GenerateFaults(kinds, seed)
-	jobs := d.GenerateJobs(start, load, seed, faults)
+	faults := s.GenerateFaults(kinds, seed)
+	jobs := s.GenerateJobs(start, load, seed, faults)
 	slices.SortStableFunc(jobs, func(a, b *trace.Job) int { return int(a.SubmittedAt - b.SubmittedAt) })
 	switch policy {
 	case PolicyFirstFit:
-		return simulate(d, jobs, faults, start, seed, newFirstFitPolicy)
+		return simulate(s, jobs, faults, start, seed, newFirstFitPolicy)
 	case PolicyIdeal:
-		return simulateIdeal(d, jobs, start)
+		return simulateIdeal(s, jobs, start)
 	}
-	return simulate(d, jobs, faults, start, seed, newProductPolicy)
+	return simulate(s, jobs, faults, start, seed, newProductPolicy)
 }
 
-// WriteSummary writes the rows as a table: for each kind of job the share of the worth that was earned,
-// and how long the jobs took.
+// WriteSummary writes the rows as a table: for each kind of jobs the share of its value that was earned,
+// and the quantiles of the turnaround time.
 func WriteSummary(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "load\tpolicy\tworth\tkind\tearned\ton time\tlate\tof\tp50\tp99\twasted core-s\tmoves")
@@ -140,6 +142,7 @@
 	return errors.Wrap(w.Flush(), "trial")
 }
 
+// turnaroundQuantile returns a quantile of the turnaround times, rounded to 10 ms; 0 if there are none.
 func (t *Tally) turnaroundQuantile(q float64) time.Duration {
 	if len(t.TurnaroundTimes) == 0 {
 		return 0
--- a/internal/model/trial/trial_test.go
+++ b/internal/model/trial/trial_test.go
@@ -14,19 +14,19 @@
 
 func TestValidate(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		plan trial.Config
-		want string
+		name   string
+		config trial.Config
+		want   string
 	}{
-		{"no such day", trial.Config{Scenario: "x", Seeds: 1}, `no day "x"`},
+		{"unknown scenario", trial.Config{Scenario: "x", Seeds: 1}, `no day "x"`},
 		{"no seeds", trial.Config{Scenario: "wildheart"}, "0 seeds"},
-		{"no load", trial.Config{Scenario: "wildheart", Seeds: 1, Loads: []float64{0}}, "load 0"},
-		{"a load that is no number", trial.Config{Scenario: "wildheart", Seeds: 1, Loads: []float64{math.NaN()}}, "load NaN"},
-		{"no such fault", trial.Config{Scenario: "wildheart", Seeds: 1, Faults: []string{"slow", "fire"}}, `no fault "fire"`},
-		{"no such policy", trial.Config{Scenario: "wildheart", Seeds: 1, Policies: []string{"best"}}, `no policy "best"`},
+		{"load of zero", trial.Config{Scenario: "wildheart", Seeds: 1, Loads: []float64{0}}, "load 0"},
+		{"load that is not a number", trial.Config{Scenario: "wildheart", Seeds: 1, Loads: []float64{math.NaN()}}, "load NaN"},
+		{"unknown fault", trial.Config{Scenario: "wildheart", Seeds: 1, Faults: []string{"slow", "fire"}}, `no fault "fire"`},
+		{"unknown policy", trial.Config{Scenario: "wildheart", Seeds: 1, Policies: []string{"best"}}, `no policy "best"`},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := trial.Run(tt.plan)
+			_, err := trial.Run(tt.config)
 			if !errors.Is(err, trial.ErrInvalidConfig) || !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("error %v, want one with %q", err, tt.want)
 			}
@@ -34,34 +34,34 @@
 	}
 }
 
-// What callers get of the product on a model of both users' days, beside first come first
-// served with first fit and the limit: the same for the same seeds, whatever the machine.
+// Guards the scheduler's value share in the scenarios of both users against the first-fit baseline and the upper
+// bound. The same seeds give the same shares on every machine.
 //
-// Each lasting task earns unless it's over its target, fourfold where filling tasks are the
-// cause. Without the load told ahead it was 0.82 and 0.76 for first fit and for the product.
+// Long-running tasks lose value while they are over their latency target, four times as much if best-effort tasks are
+// the cause. Without a forecast of the load the product falls behind: 0.82 for first fit and 0.76 for the product.
 func TestValueShare(t *testing.T) {
 	for _, tt := range []struct {
-		day string
-		// more is how much more than first fit the product earns at least, and share what it
-		// earns of the limit.
-		more, share float64
+		scenario string
+		// minGain is the least by which the product's value share exceeds that of first fit, and minShareOfIdeal the
+		// least ratio of its value share to that of the upper bound.
+		minGain, minShareOfIdeal float64
 	}{
 		{"association", 0.05, 0.85},
 		{"wildheart", 0.05, 0.85},
 	} {
-		t.Run(tt.day, func(t *testing.T) {
+		t.Run(tt.scenario, func(t *testing.T) {
 			t.Parallel()
-			rows, err := trial.Run(trial.Config{Scenario: tt.day, Loads: []float64{0.85}, Seeds: 2, Policies: []string{trial.PolicyFirstFit, trial.PolicyProduct, trial.PolicyIdeal}})
+			rows, err := trial.Run(trial.Config{Scenario: tt.scenario, Loads: []float64{0.85}, Seeds: 2, Policies: []string{trial.PolicyFirstFit, trial.PolicyProduct, trial.PolicyIdeal}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			first, product, ideal := rows[0].Result.ValueShare(), rows[1].Result.ValueShare(), rows[2].Result.ValueShare()
-			t.Logf("first fit %.3f, product %.3f, limit %.3f", first, product, ideal)
-			if product < first+tt.more {
-				t.Errorf("product %.3f, first fit %.3f", product, first)
+			t.Logf("value shares: first fit %.3f, product %.3f, upper bound %.3f", first, product, ideal)
+			if product < first+tt.minGain {
+				t.Errorf("value share of the product %.3f, of first fit %.3f: gain too small", product, first)
 			}
-			if product < tt.share*ideal {
-				t.Errorf("product %.3f, limit %.3f", product, ideal)
+			if product < tt.minShareOfIdeal*ideal {
+				t.Errorf("value share of the product %.3f, of the upper bound %.3f: ratio too small", product, ideal)
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 		name   string
 		faults []string
 	}{
-		{"sound workers", nil},
+		{"no faults", nil},
 		{"all faults", []string{"slow", "hang", "fail", "leave", "burst"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -90,7 +90,7 @@
 				}
 			}
 			if out[0].String() != out[1].String() {
-				t.Errorf("first:\n%sagain:\n%s", &out[0], &out[1])
+				t.Errorf("output differs between two simulations of the same seed, first:\n%ssecond:\n%s", &out[0], &out[1])
 			}
 		})
 	}
@@ -107,24 +107,25 @@
 	}
 	for _, want := range []string{"<svg", trial.PolicyFirstFit, trial.PolicyProduct} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in the plot", want)
+			t.Errorf("the plot doesn't contain %q", want)
 		}
 	}
 	if err := trial.Plot(&out, rows[:1]); !errors.Is(err, trial.ErrInvalidConfig) {
-		t.Errorf("error %v for one load, want ErrPlan", err)
+		t.Errorf("error %v for one load, want ErrInvalidConfig", err)
 	}
 }
 
-// Under more filling work than there is room for, late jobs have nothing running until the day ends.
+// With more best-effort work than the workers can run, late jobs must not be starved until the scenario ends: once no
+// job can be on time any more, the late ones have to run.
 func TestBestEffortJobsNotStalledAtEnd(t *testing.T) {
-	const most = 3 * time.Second
+	const maxStall = 3 * time.Second
 	for _, tt := range []struct {
 		name   string
 		load   float64
 		faults []string
 	}{
-		{"sound workers", 1, nil},
-		{"slow and hanging workers", 1, []string{"slow", "hang"}},
+		{"no faults", 1, nil},
+		{"slow and hanging tasks", 1, []string{"slow", "hang"}},
 		{"failing workers", 1, []string{"fail"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -134,11 +135,11 @@
 				t.Fatal(err)
 			}
 			audit := rows[0].Result.Kinds["audit"]
-			if audit.MaxStall <= most {
-				t.Errorf("no job stood still for more than %s all day: the load fits", audit.MaxStall)
+			if audit.MaxStall <= maxStall {
+				t.Errorf("the longest stall is %s: the load is too low for this test", audit.MaxStall)
 			}
-			if audit.MaxStallAtEnd > most {
-				t.Errorf("a filling job stands still for %s at the end of the day, want %s at most", audit.MaxStallAtEnd, most)
+			if audit.MaxStallAtEnd > maxStall {
+				t.Errorf("a best-effort job is stalled for %s at the end of the scenario, want %s at most", audit.MaxStallAtEnd, maxStall)
 			}
 		})
 	}
