--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -230,8 +230,8 @@
 
 // ServiceStatus is a service as one process sees it.
 type ServiceStatus struct {
-	Queued  int          `json:"queued"`
-	Targets []pool.Owned `json:"targets"`
+	Queued  int                `json:"queued"`
+	Targets []pool.OwnedTarget `json:"targets"`
 }
 
 func (n *Node) status(w http.ResponseWriter, _ *http.Request) {
@@ -246,7 +246,7 @@
 		s.Out = append(s.Out, zone)
 	}
 	for name, rt := range n.routes.all() {
-		s.Services[name] = ServiceStatus{rt.broker.Queued(), rt.broker.Targets()}
+		s.Services[name] = ServiceStatus{rt.broker.QueueLen(), rt.broker.Targets()}
 	}
 	answer(w, http.StatusOK, s)
 }
--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -39,7 +39,7 @@
 	keeper *shard.Keeper
 	feed   *sheet.Feed
 	hosts  hostList
-	homes  *once.Homes
+	homes  *once.Registry
 	relay  *relay.Relay
 	routes routes
 	entry  *entry.Entry
@@ -137,7 +137,7 @@
 		Store: n.store, Group: n.group, Wait: n.s.Store.WatchTimeout, Items: n.items, Changed: n.tableChanged, Log: n.log,
 	})
 	n.feed = sheet.NewFeed(n.store, n.s.Store.WatchTimeout, n.configChanged, n.log)
-	n.homes = once.NewHomes(once.New(n.s.Limit.RequestIDRetention), n.group, n.links, n.s.Peer.Timeout, n.log)
+	n.homes = once.NewRegistry(once.NewTable(n.s.Limit.RequestIDRetention), n.group, n.links, n.s.Peer.Timeout, n.log)
 	n.holder = hold.New(hold.Options{
 		Store: n.store, Group: n.group, Keeper: n.keeper, Links: n.links,
 		Config: n.feed.Now, Age: n.feed.Age, Hosts: n.hosts.now,
@@ -146,7 +146,7 @@
 	})
 	n.relay = relay.New(n.s.Limit.MaxAnswerBytes, n.group.Authorized)
 	n.entry = entry.New(n.id, entry.Options{
-		Find: n.find, Homes: n.homes, Relay: n.relay, Limit: n.s.Limit, Log: n.log, Scope: n.scope,
+		FindService: n.find, Registry: n.homes, Relay: n.relay, Limits: n.s.Limit, Log: n.log, Scope: n.scope,
 	})
 }
 
--- a/internal/proc/node/peer.go
+++ b/internal/proc/node/peer.go
@@ -41,40 +41,40 @@
 
 // Ask asks for slots.
 func (p *Peer) Ask(in broker.AskArgs, out *broker.AskReply) error {
-	return with(p, in.Service, out, func(b *broker.Broker) broker.AskReply { return b.Ask(in) })
+	return with(p, in.Service, out, func(b *broker.Broker) broker.AskReply { return b.HandleAsk(in) })
 }
 
 // Free gives a permit back.
 func (p *Peer) Free(in broker.FreeArgs, out *bool) error {
-	return with(p, in.Service, out, func(b *broker.Broker) bool { b.Free(in); return true })
+	return with(p, in.Service, out, func(b *broker.Broker) bool { b.HandleFree(in); return true })
 }
 
 // Claim takes a target over.
 func (p *Peer) Claim(in broker.ClaimArgs, out *broker.ClaimReply) error {
-	return with(p, in.Service, out, func(b *broker.Broker) broker.ClaimReply { return b.Claim(in) })
+	return with(p, in.Service, out, func(b *broker.Broker) broker.ClaimReply { return b.HandleClaim(in) })
 }
 
 // Held asks for the permits in use of a lost owner's target.
 func (p *Peer) Held(in broker.HeldArgs, out *broker.HeldReply) error {
-	return with(p, in.Service, out, func(b *broker.Broker) broker.HeldReply { return b.Held(in) })
+	return with(p, in.Service, out, func(b *broker.Broker) broker.HeldReply { return b.HandleHeld(in) })
 }
 
 // Begin enters a non-idempotent request.
 func (p *Peer) Begin(in once.BeginArgs, out *once.BeginReply) error {
-	*out = p.n.homes.Serve(in)
+	*out = p.n.homes.HandleBegin(in)
 	return nil
 }
 
 // Finish tells how a non-idempotent request ended.
 func (p *Peer) Finish(in once.FinishArgs, out *bool) error {
-	p.n.homes.Heed(in)
+	p.n.homes.HandleFinish(in)
 	*out = true
 	return nil
 }
 
 // Pull asks for the records whose home or witness the asker is.
 func (p *Peer) Pull(in once.PullArgs, out *once.PullReply) error {
-	*out = p.n.homes.Give(in)
+	*out = p.n.homes.HandlePull(in)
 	return nil
 }
 
--- a/internal/proc/node/routes.go
+++ b/internal/proc/node/routes.go
@@ -36,7 +36,7 @@
 	conf   sheet.Service
 	gone   bool
 	broker *broker.Broker
-	budget *entry.Budget
+	budget *entry.RetryBudget
 }
 
 func (r *routes) init(n *Node, ctx context.Context) {
@@ -89,19 +89,19 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(r.n.id + name))
 	b := broker.New(broker.Options{
-		Service: name,
-		Group:   r.n.group,
-		Links:   r.n.links,
-		Timeout: r.n.s.Peer.Timeout,
-		Sure:    r.n.keeper.Sure,
-		Lawful:  r.n.group.Authorized,
-		Holder:  func(target string) string { return r.n.keeper.Holder(slotTable+name, target) },
-		Probe:   r.n.probe,
-		Log:     r.n.log,
-		Seed:    h.Sum64(),
+		Service:        name,
+		Group:          r.n.group,
+		Links:          r.n.links,
+		RPCTimeout:     r.n.s.Peer.Timeout,
+		OwnershipValid: r.n.keeper.Sure,
+		Authorized:     r.n.group.Authorized,
+		Owner:          func(target string) string { return r.n.keeper.Holder(slotTable+name, target) },
+		Probe:          r.n.probe,
+		Log:            r.n.log,
+		Seed:           h.Sum64(),
 	})
 	b.SetView(member.View{}, r.view)
-	rt := &route{broker: b, budget: &entry.Budget{}}
+	rt := &route{broker: b, budget: &entry.RetryBudget{}}
 	r.list[name] = rt
 	r.wg.Go(func() { b.Run(r.ctx) })
 	return rt
@@ -123,8 +123,8 @@
 		return entry.Service{}, false
 	}
 	return entry.Service{
-		Name: service, Broker: rt.broker, Budget: rt.budget,
-		Timeout: rt.conf.Timeout, Slots: rt.conf.Slots, Share: share(rt.conf, len(n.routes.view.Members())),
+		Name: service, Broker: rt.broker, RetryBudget: rt.budget,
+		Timeout: rt.conf.Timeout, Slots: rt.conf.Slots, BorrowerConns: share(rt.conf, len(n.routes.view.Members())),
 	}, true
 }
 
@@ -149,7 +149,7 @@
 		rt.broker.SetLimits(rt.conf.Timeout, rt.conf.Wait, share(rt.conf, len(v.Members())))
 	}
 	ctx := n.routes.ctx
-	n.routes.wg.Go(func() { n.homes.Settle(ctx, v) })
+	n.routes.wg.Go(func() { n.homes.SyncView(ctx, v) })
 	n.routes.mu.Unlock()
 	n.keeper.Nudge()
 }
@@ -157,7 +157,7 @@
 // joined reads the tables anew, as others may have taken over what this process held.
 func (n *Node) joined() {
 	for _, rt := range n.routes.all() {
-		rt.broker.Rejoined()
+		rt.broker.DropTargets()
 	}
 	ctx, cancel := context.WithTimeout(n.routes.ctx, n.s.Store.Timeout)
 	defer cancel()
@@ -179,7 +179,7 @@
 		if mine == nil {
 			continue
 		}
-		rt.broker.Follow(n.routes.ctx, mine, rt.conf.Slots)
+		rt.broker.TakeOverAssigned(n.routes.ctx, mine, rt.conf.Slots)
 		usable := usableTargets(list, rt.conf, c)
 		for _, t := range rt.broker.Targets() {
 			rt.broker.SetLeaving(t.Addr, !usable[t.Addr])
@@ -226,7 +226,7 @@
 func (n *Node) heard(id string, load map[string]member.ServiceLoad) {
 	for name, l := range load {
 		if rt := n.routes.get(name); rt != nil {
-			rt.broker.Heard(id, l)
+			rt.broker.HandleHeartbeat(id, l)
 		}
 	}
 }
--- a/internal/route/broker/broker_test.go
+++ b/internal/route/broker/broker_test.go
@@ -14,23 +14,23 @@
 
 // A process is paused between taking its first target over and the next tick, and wakes up
 // when others have the target. It must not lend the target's slots.
-func TestUnsureFromTheStart(t *testing.T) {
+func TestNoLendingWithInvalidOwnership(t *testing.T) {
 	b := New(Options{
-		Service: "registro",
-		Group:   member.New(member.Options{Self: member.Member{ID: "e0"}}),
-		Links:   &link.Set{},
-		Timeout: time.Second,
-		Sure:    func() bool { return false },
-		Lawful:  func() bool { return false },
-		Probe:   func(string) (bool, int, bool) { return true, 0, false },
-		Log:     logr.Discard(),
+		Service:        "registro",
+		Group:          member.New(member.Options{Self: member.Member{ID: "e0"}}),
+		Links:          &link.Set{},
+		RPCTimeout:     time.Second,
+		OwnershipValid: func() bool { return false },
+		Authorized:     func() bool { return false },
+		Probe:          func(string) (bool, int, bool) { return true, 0, false },
+		Log:            logr.Discard(),
 	})
-	b.Follow(t.Context(), map[string]shard.Row{"t00": {Ep: 1}}, 4)
+	b.TakeOverAssigned(t.Context(), map[string]shard.Row{"t00": {Ep: 1}}, 4)
 	ended, end := context.WithCancel(t.Context())
 	end()
 	b.Run(ended) // until the target is owned
 	b.tick()
-	if got := b.Ask(AskArgs{By: "e1", N: 1}); len(b.Targets()) != 1 || len(got.Permits) > 0 {
+	if got := b.HandleAsk(AskArgs{By: "e1", N: 1}); len(b.Targets()) != 1 || len(got.Permits) > 0 {
 		t.Errorf("of %d targets it lends %+v", len(b.Targets()), got.Permits)
 	}
 }
--- a/internal/route/broker/claim_test.go
+++ b/internal/route/broker/claim_test.go
@@ -18,10 +18,10 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// blind is a store whose watches answer only once.
-type blind struct{ store.Store }
+// singleWatchStore is a store whose watches answer only once.
+type singleWatchStore struct{ store.Store }
 
-func (b blind) List(ctx context.Context, prefix string, after uint64, hold time.Duration) (store.Listing, error) {
+func (b singleWatchStore) List(ctx context.Context, prefix string, after uint64, hold time.Duration) (store.Listing, error) {
 	if after > 0 && hold > 0 {
 		<-ctx.Done()
 		return store.Listing{}, ctx.Err()
@@ -29,45 +29,45 @@
 	return b.Store.List(ctx, prefix, after, hold)
 }
 
-// peer answers what processes ask each other about targets.
-type peer struct {
-	b     *Broker
-	asked func() // called at each claim, if there is one
+// peerService answers what processes ask each other about targets.
+type peerService struct {
+	b       *Broker
+	onClaim func() // called at each claim, if there is one
 }
 
 // Claim is called by its name over net/rpc.
-func (p *peer) Claim(in ClaimArgs, out *ClaimReply) error {
-	if p.asked != nil {
-		p.asked()
+func (p *peerService) Claim(in ClaimArgs, out *ClaimReply) error {
+	if p.onClaim != nil {
+		p.onClaim()
 	}
-	*out = p.b.Claim(in)
+	*out = p.b.HandleClaim(in)
 	return nil
 }
 
 // Held is called by its name over net/rpc.
-func (p *peer) Held(in HeldArgs, out *HeldReply) error {
-	*out = p.b.Held(in)
+func (p *peerService) Held(in HeldArgs, out *HeldReply) error {
+	*out = p.b.HandleHeld(in)
 	return nil
 }
 
-// proc is a process with a broker.
-type proc struct {
+// process is a process with a broker.
+type process struct {
 	*Broker
-	changed chan struct{} // its view
+	viewChanged chan struct{} // its view
 }
 
-// meet waits until the process's view shows another.
-func (p *proc) meet(id string) {
+// waitForMember waits until the process's view shows another.
+func (p *process) waitForMember(id string) {
 	for {
-		if _, ok := p.o.Group.View().Get(id); ok {
+		if _, ok := p.opts.Group.View().Get(id); ok {
 			return
 		}
-		<-p.changed
+		<-p.viewChanged
 	}
 }
 
-// join returns a process that has joined and answers its peers.
-func join(t *testing.T, id string, s store.Store, asked func()) *proc {
+// startProcess returns a process that has joined and answers its peers.
+func startProcess(t *testing.T, id string, s store.Store, asked func()) *process {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,7 +76,7 @@
 	links := &link.Set{}
 	joined, changed := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := New(Options{
-		Service: "registro", Links: links, Timeout: time.Minute, Log: logr.Discard(),
+		Service: "registro", Links: links, RPCTimeout: time.Minute, Log: logr.Discard(),
 		Group: member.New(member.Options{
 			Self: member.Member{ID: id, Addr: lis.Addr().String(), State: member.StateLive}, Store: s, Links: links,
 			LeaseTTL: time.Hour, WatchTimeout: time.Minute, HeartbeatInterval: time.Minute, HeartbeatTimeout: time.Minute, Log: logr.Discard(),
@@ -84,14 +84,14 @@
 			OnViewChange: func(member.View) { wait.Wake(changed) },
 		}),
 	})
-	server, err := link.NewServer("Peer", &peer{b, asked})
+	server, err := link.NewServer("Peer", &peerService{b, asked})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{}, 2)
 	go func() { server.Serve(lis); done <- struct{}{} }()
-	go func() { b.o.Group.Run(ctx); done <- struct{}{} }()
+	go func() { b.opts.Group.Run(ctx); done <- struct{}{} }()
 	t.Cleanup(func() {
 		cancel()
 		server.Close()
@@ -99,28 +99,28 @@
 		<-done
 	})
 	<-joined
-	return &proc{b, changed}
+	return &process{b, changed}
 }
 
-// follow gives the target to the process by a row and waits until it has taken it over.
-func follow(b *proc, target string, row shard.Row) {
-	b.Follow(context.Background(), map[string]shard.Row{target: row}, 4)
+// takeOver gives the target to the process by a row and waits until it has taken it over.
+func takeOver(b *process, target string, row shard.Row) {
+	b.TakeOverAssigned(context.Background(), map[string]shard.Row{target: row}, 4)
 	b.wg.Wait()
 }
 
 // A process takes a target over while its view doesn't show yet that the previous holder
 // has joined. Taken for gone, the holder would go on sending to the target as its owner.
-func TestClaimFromUnseen(t *testing.T) {
+func TestClaimFromOwnerMissingInView(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	s := store.NewHTTP(srv.URL, time.Minute)
-	next := join(t, "e0", blind{s}, nil)
-	holder := join(t, "e1", s, nil)
-	follow(holder, "target", shard.Row{By: "e1", Ep: 1})
+	next := startProcess(t, "e0", singleWatchStore{s}, nil)
+	holder := startProcess(t, "e1", s, nil)
+	takeOver(holder, "target", shard.Row{By: "e1", Ep: 1})
 	if len(holder.Targets()) != 1 {
 		t.Fatal("the first holder has no target")
 	}
-	follow(next, "target", shard.Row{By: "e0", Ep: 2, Was: "e1"})
+	takeOver(next, "target", shard.Row{By: "e0", Ep: 2, Was: "e1"})
 	if len(next.Targets()) != 1 || len(holder.Targets()) != 0 {
 		t.Errorf("the next holder has %d, the previous %d", len(next.Targets()), len(holder.Targets()))
 	}
@@ -128,15 +128,15 @@
 
 // A target moves on twice before the process in between has seen that it was its own. It
 // isn't the one to take the target over from: the holder before it is sending there yet.
-func TestClaimPassedOn(t *testing.T) {
+func TestClaimSkipsProcessThatNeverOwned(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	s := store.NewHTTP(srv.URL, time.Minute)
-	next, holder := join(t, "e0", s, nil), join(t, "e1", s, nil)
-	join(t, "e2", s, nil)
-	next.meet("e2")
-	follow(holder, "target", shard.Row{By: "e1", Ep: 1})
-	follow(next, "target", shard.Row{By: "e0", Ep: 3, Was: "e2"})
+	next, holder := startProcess(t, "e0", s, nil), startProcess(t, "e1", s, nil)
+	startProcess(t, "e2", s, nil)
+	next.waitForMember("e2")
+	takeOver(holder, "target", shard.Row{By: "e1", Ep: 1})
+	takeOver(next, "target", shard.Row{By: "e0", Ep: 3, Was: "e2"})
 	if len(next.Targets()) != 1 || len(holder.Targets()) != 0 {
 		t.Errorf("the next holder has %d, the first %d", len(next.Targets()), len(holder.Targets()))
 	}
@@ -144,7 +144,7 @@
 
 // A target moves on and back before either process has taken it over, so that each claims
 // it from the other. If both waited for the other's claim to end, nobody would ever own it.
-func TestClaimEachOther(t *testing.T) {
+func TestMutualClaims(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	s := store.NewHTTP(srv.URL, time.Minute)
@@ -158,11 +158,11 @@
 			cancel()
 		}
 	}
-	former, present := join(t, "e0", s, ask), join(t, "e1", s, ask)
-	former.meet("e1")
-	present.meet("e0")
-	former.Follow(ctx, map[string]shard.Row{"target": {By: "e0", Ep: 2, Was: "e1"}}, 4)
-	present.Follow(ctx, map[string]shard.Row{"target": {By: "e1", Ep: 3, Was: "e0"}}, 4)
+	former, present := startProcess(t, "e0", s, ask), startProcess(t, "e1", s, ask)
+	former.waitForMember("e1")
+	present.waitForMember("e0")
+	former.TakeOverAssigned(ctx, map[string]shard.Row{"target": {By: "e0", Ep: 2, Was: "e1"}}, 4)
+	present.TakeOverAssigned(ctx, map[string]shard.Row{"target": {By: "e1", Ep: 3, Was: "e0"}}, 4)
 	close(both)
 	former.wg.Wait()
 	present.wg.Wait()
@@ -173,14 +173,14 @@
 
 // The first owner of a target loses its membership and joins again before anybody has taken
 // the target over. Its requests from before are still there and fill slots.
-func TestOwnAgain(t *testing.T) {
+func TestOrphansCountedOnReclaim(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
-	owner := join(t, "e0", store.NewHTTP(srv.URL, time.Minute), nil)
+	owner := startProcess(t, "e0", store.NewHTTP(srv.URL, time.Minute), nil)
 	row := shard.Row{By: "e0", Ep: 1}
-	follow(owner, "target", row)
-	owner.Rejoined()
-	follow(owner, "target", row)
+	takeOver(owner, "target", row)
+	owner.DropTargets()
+	takeOver(owner, "target", row)
 	if got := owner.Targets(); len(got) != 1 || got[0].Ghosts != 4 {
 		t.Errorf("owned again: %+v", got)
 	}
--- a/internal/route/broker/wire.go
+++ b/internal/route/broker/wire.go
@@ -50,7 +50,7 @@
 type ClaimReply struct {
 	OK     bool
 	Absent bool
-	Held   []pool.Held
+	Held   []pool.OutstandingPermit
 	Ghosts int
 }
 
@@ -65,6 +65,6 @@
 
 // HeldReply names them.
 type HeldReply struct {
-	Held   []pool.Held
+	Held   []pool.OutstandingPermit
 	Ghosts int
 }
--- a/internal/route/entry/entry_test.go
+++ b/internal/route/entry/entry_test.go
@@ -20,17 +20,17 @@
 	"bramleysail.example/bramleysail/internal/route/relay"
 )
 
-// right is whether a process may use what it holds, as its parts see it. The relay asks
+// authorization is whether a process may use what it holds, as its parts see it. The relay asks
 // with each write and finds it lost the first time; the broker asks with each tick and
 // finds it back later.
-type right struct {
+type authorization struct {
 	mu     sync.Mutex
 	writes int
 	ticks  int // of the broker without the right
 	lost   bool
 }
 
-func (r *right) relay() bool {
+func (r *authorization) checkWrite() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writes++
@@ -40,7 +40,7 @@
 	return !r.lost
 }
 
-func (r *right) broker() bool {
+func (r *authorization) checkTick() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lost {
@@ -50,7 +50,7 @@
 	return !r.lost
 }
 
-func (r *right) has() bool {
+func (r *authorization) isValid() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.lost
@@ -60,7 +60,7 @@
 // store comes back, and its broker learns of it with the next tick only. The check-in must
 // wait here and be run once, whatever is left of the budget of retries: it must neither be
 // refused nor sent on and on meanwhile.
-func TestUnlawfulWaits(t *testing.T) {
+func TestUnauthorizedRequestWaits(t *testing.T) {
 	target := faketarget.New(4, 0)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,19 +71,19 @@
 	t.Cleanup(func() { _ = srv.Close() })
 	addr := l.Addr().String()
 
-	r := &right{}
+	r := &authorization{}
 	b := broker.New(broker.Options{
-		Service: "registro",
-		Group:   member.New(member.Options{Self: member.Member{ID: "e0"}}),
-		Links:   &link.Set{},
-		Timeout: time.Second,
-		Sure:    r.broker,
-		Lawful:  r.has,
-		Probe:   func(string) (bool, int, bool) { return true, 0, false },
-		Log:     logr.Discard(),
+		Service:        "registro",
+		Group:          member.New(member.Options{Self: member.Member{ID: "e0"}}),
+		Links:          &link.Set{},
+		RPCTimeout:     time.Second,
+		OwnershipValid: r.checkTick,
+		Authorized:     r.isValid,
+		Probe:          func(string) (bool, int, bool) { return true, 0, false },
+		Log:            logr.Discard(),
 	})
 	b.SetLimits(time.Minute, time.Minute, 1)
-	b.Follow(t.Context(), map[string]shard.Row{addr: {Ep: 1}}, 4)
+	b.TakeOverAssigned(t.Context(), map[string]shard.Row{addr: {Ep: 1}}, 4)
 	ended, end := context.WithCancel(t.Context())
 	end()
 	b.Run(ended) // until the target is owned
@@ -97,13 +97,13 @@
 		cancel()
 		<-done
 	})
-	rl := relay.New(1<<20, r.relay)
+	rl := relay.New(1<<20, r.checkWrite)
 	t.Cleanup(rl.Close)
 	e := New("e0", Options{Relay: rl, Log: logr.Discard()})
 
-	s := Service{Name: "registro", Broker: b, Budget: &Budget{begun: true}, Timeout: time.Minute, Slots: 4, Share: 1}
-	q := request{Request: relay.Request{Key: "bottle", Method: http.MethodPost, Path: "/checkin", Body: []byte("x")}, until: time.Now().Add(time.Minute)}
-	a, f := e.run(ctx, s, q)
+	s := Service{Name: "registro", Broker: b, RetryBudget: &RetryBudget{initialized: true}, Timeout: time.Minute, Slots: 4, BorrowerConns: 1}
+	q := request{Request: relay.Request{Key: "bottle", Method: http.MethodPost, Path: "/checkin", Body: []byte("x")}, deadline: time.Now().Add(time.Minute)}
+	a, f := e.sendWithRetries(ctx, s, q)
 	if f != nil || a.Status != http.StatusOK {
 		t.Errorf("%+v, %v", a, f)
 	}
@@ -117,13 +117,13 @@
 
 // A process that may not send for a moment doesn't hold that against its targets, which it
 // would eject one after the other.
-func TestUnlawfulIsNotTheTargets(t *testing.T) {
+func TestUnauthorizedNotChargedToTarget(t *testing.T) {
 	for err, want := range map[error]pool.Outcome{
-		relay.ErrUnlawful: pool.OutcomeNever,
-		relay.ErrNever:    pool.OutcomeFailed,
-		relay.ErrLost:     pool.OutcomeLost,
+		relay.ErrUnauthorized: pool.OutcomeNotSent,
+		relay.ErrNotSent:      pool.OutcomeFailed,
+		relay.ErrAnswerLost:   pool.OutcomeLost,
 	} {
-		if got := result(relay.Answer{Load: -1}, errors.Wrap(err, "test"), 0).Outcome; got != want {
+		if got := poolResult(relay.Answer{Load: -1}, errors.Wrap(err, "test"), 0).Outcome; got != want {
 			t.Errorf("%v: %s, want %s", err, got, want)
 		}
 	}
--- a/internal/route/entry/request.go
+++ b/internal/route/entry/request.go
@@ -18,25 +18,25 @@
 
 // Headers by which callers say what they want.
 const (
-	headerKey        = "Idempotency-Key" // the caller's id of a request, the same in each repeat
-	headerIdempotent = "Sail-Idempotent" // yes or no, where the method doesn't tell
-	headerTeam       = "Sail-Team"
-	headerPriority   = "Priority" // RFC 9218
-	maxKey           = 128
+	headerIdempotencyKey = "Idempotency-Key" // the caller's id of a request, the same in each repeat
+	headerIdempotent     = "Sail-Idempotent" // yes or no, where the method doesn't tell
+	headerTeam           = "Sail-Team"
+	headerPriority       = "Priority" // RFC 9218
+	maxKeyLength         = 128
 )
 
 // request is a caller's request, checked and whole.
 type request struct {
 	relay.Request
-	team  string
-	prio  pool.Prio
-	until time.Time
-	keyed bool // the key is the caller's own
+	team         string
+	priority     pool.Priority
+	deadline     time.Time
+	hasCallerKey bool // the key is the caller's own
 }
 
-// parse reads a request, or says what is wrong with it.
-func (e *Entry) parse(w http.ResponseWriter, r *http.Request, path string, s Service) (request, *Failure) {
-	q := request{team: r.Header.Get(headerTeam), prio: priority(r.Header.Get(headerPriority))}
+// parseRequest reads a request, or says what is wrong with it.
+func (e *Entry) parseRequest(w http.ResponseWriter, r *http.Request, path string, s Service) (request, *Failure) {
+	q := request{team: r.Header.Get(headerTeam), priority: parsePriority(r.Header.Get(headerPriority))}
 	q.Method, q.Header = r.Method, r.Header
 	q.Path = "/" + path
 	if r.URL.RawQuery != "" {
@@ -50,40 +50,40 @@
 		}
 		patience = min(patience, d)
 	}
-	q.until = time.Now().Add(patience)
-	if f := q.mark(r); f != nil {
+	q.deadline = time.Now().Add(patience)
+	if f := q.parseIdempotency(r); f != nil {
 		return q, f
 	}
-	return q, e.body(w, r, &q)
+	return q, e.readBody(w, r, &q)
 }
 
-// mark decides whether the request is idempotent and finds its key.
-func (q *request) mark(r *http.Request) *Failure {
+// parseIdempotency decides whether the request is idempotent and finds its key.
+func (q *request) parseIdempotency(r *http.Request) *Failure {
 	switch v := strings.ToLower(r.Header.Get(headerIdempotent)); v {
 	case "yes":
 		q.Idempotent = true
 	case "no":
 	case "":
-		q.Idempotent = methodIdempotent(r.Method)
+		q.Idempotent = isIdempotentMethod(r.Method)
 	default:
 		return &Failure{Code: CodeBadRequest, Text: fmt.Sprintf("%s: %q is neither yes nor no", headerIdempotent, v)}
 	}
-	q.Key = r.Header.Get(headerKey)
-	q.keyed = q.Key != ""
-	if len(q.Key) > maxKey || strings.ContainsFunc(q.Key, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return &Failure{Code: CodeBadRequest, Text: fmt.Sprintf("%s: at most %d visible ASCII characters", headerKey, maxKey)}
+	q.Key = r.Header.Get(headerIdempotencyKey)
+	q.hasCallerKey = q.Key != ""
+	if len(q.Key) > maxKeyLength || strings.ContainsFunc(q.Key, func(c rune) bool { return c <= ' ' || c > '~' }) {
+		return &Failure{Code: CodeBadRequest, Text: fmt.Sprintf("%s: at most %d visible ASCII characters", headerIdempotencyKey, maxKeyLength)}
 	}
-	if !q.keyed {
+	if !q.hasCallerKey {
 		id, err := uuid.NewV7()
 		if err != nil {
-			return &Failure{Code: CodeNotSent, Text: err.Error(), After: time.Second}
+			return &Failure{Code: CodeNotSent, Text: err.Error(), RetryAfter: time.Second}
 		}
 		q.Key = id.String()
 	}
 	return nil
 }
 
-func methodIdempotent(m string) bool {
+func isIdempotentMethod(m string) bool {
 	switch m {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete, http.MethodTrace:
 		return true
@@ -91,39 +91,39 @@
 	return false
 }
 
-// priority maps RFC 9218's urgency (u=0 to u=7, 3 when absent) to the queue's priorities.
-func priority(h string) pool.Prio {
+// parsePriority maps RFC 9218's urgency (u=0 to u=7, 3 when absent) to the queue's priorities.
+func parsePriority(h string) pool.Priority {
 	at := strings.Index(h, "u=")
 	if at < 0 || at+2 >= len(h) {
-		return pool.PrioNormal
+		return pool.PriorityNormal
 	}
 	switch u := h[at+2]; {
 	case u >= '0' && u <= '2':
-		return pool.PrioUrgent
+		return pool.PriorityUrgent
 	case u >= '5' && u <= '7':
-		return pool.PrioLow
+		return pool.PriorityLow
 	}
-	return pool.PrioNormal
+	return pool.PriorityNormal
 }
 
-func (e *Entry) body(w http.ResponseWriter, r *http.Request, q *request) *Failure {
+func (e *Entry) readBody(w http.ResponseWriter, r *http.Request, q *request) *Failure {
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(e.o.Limit.ReadTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.o.Limit.MaxRequestBytes))
+	_ = rc.SetReadDeadline(time.Now().Add(e.opts.Limits.ReadTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.opts.Limits.MaxRequestBytes))
 	var big *http.MaxBytesError
 	switch {
 	case errors.As(err, &big):
-		return &Failure{Code: CodeTooLarge, Text: fmt.Sprintf("a request has at most %d bytes", e.o.Limit.MaxRequestBytes)}
+		return &Failure{Code: CodeTooLarge, Text: fmt.Sprintf("a request has at most %d bytes", e.opts.Limits.MaxRequestBytes)}
 	case err != nil:
-		return &Failure{Code: CodeSlow, Text: "the request did not arrive whole in time"}
+		return &Failure{Code: CodeSlowRequest, Text: "the request did not arrive whole in time"}
 	}
 	_ = rc.SetReadDeadline(time.Time{})
 	q.Body = body
 	return nil
 }
 
-// print identifies the content of a request, so that a key isn't taken for another's.
-func (q *request) print(service string) uint64 {
+// fingerprint identifies the content of a request, so that a key isn't taken for another's.
+func (q *request) fingerprint(service string) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{service, q.Method, q.Path} {
 		_, _ = io.WriteString(h, s)
--- a/internal/route/once/losses_test.go
+++ b/internal/route/once/lostmembers_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestLosses guards against request ids that count as forgotten for as long as they are kept though every
+// TestLostMembers guards against request ids that count as forgotten for as long as they are kept though every
 // process that knew of them is back: on starved cores all lapse at once, and each comes back with its memory.
-func TestLosses(t *testing.T) {
+func TestLostMembers(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		views string // one after the other; members are letters
@@ -31,14 +31,14 @@
 		{"a new process, told of two of which one is back", "ab", "bc", true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var l losses
+			var l lostMembers
 			var whole bool
 			views := strings.Fields(tt.views)
 			for i, v := range views {
 				if i == len(views)-1 && tt.told != "" {
-					l.add(strings.Split(tt.told, ""))
+					l.addAbsent(strings.Split(tt.told, ""))
 				}
-				_, whole = l.settle(strings.Split(strings.Trim(v, "-"), ""))
+				_, whole = l.update(strings.Split(strings.Trim(v, "-"), ""))
 			}
 			if whole != tt.whole {
 				t.Errorf("whole = %v, want %v", whole, tt.whole)
@@ -47,15 +47,15 @@
 	}
 }
 
-// TestLossesUnnamed guards against a memory that counts as whole by the names of some of the members that know what
+// TestUnknownLostMembers guards against a memory that counts as whole by the names of some of the members that know what
 // is missing: where one doesn't know them all it names none, and so does who hears that.
-func TestLossesUnnamed(t *testing.T) {
-	var a, b losses
-	a.hear(nil)
-	a.hear([]string{"x", "y"})
-	b.hear(a.names())
-	for name, l := range map[string]*losses{"told of some": &a, "told by it": &b} {
-		if _, whole := l.settle([]string{"a", "b", "x", "y"}); whole {
+func TestUnknownLostMembers(t *testing.T) {
+	var a, b lostMembers
+	a.addReported(nil)
+	a.addReported([]string{"x", "y"})
+	b.addReported(a.absentIDs())
+	for name, l := range map[string]*lostMembers{"told of some": &a, "told by it": &b} {
+		if _, whole := l.update([]string{"a", "b", "x", "y"}); whole {
 			t.Errorf("%s: whole, though records of unknown members are missing", name)
 		}
 	}
--- a/internal/route/once/home.go
+++ b/internal/route/once/registry.go
@@ -13,9 +13,9 @@
 	"bramleysail.example/bramleysail/internal/peer/member"
 )
 
-// ErrUnsure says that the request was not begun: its home can't be reached or can't
+// ErrHomeUnavailable says that the request was not begun: its home can't be reached or can't
 // vouch for it yet. It has not run; it may be tried again later.
-var ErrUnsure = errors.New("once: home not reached")
+var ErrHomeUnavailable = errors.New("once: home not reached")
 
 // BeginArgs asks a home to enter a request.
 type BeginArgs struct {
@@ -54,60 +54,60 @@
 	Rows  []Record
 }
 
-// Homes runs one process's part of the ids' homes. Each request is entered in the
+// Registry runs one process's part of the ids' homes. Each request is entered in the
 // table of the process that sends it and in that of its home, the first member in
 // the id's order; where these are the same process, the second is its witness. So
 // what one lost process knew, another knows as well, and a process that becomes the
 // home of an id learns it from the others before it answers.
-type Homes struct {
-	table *Table
-	group *member.Group
-	links *link.Set
-	log   logr.Logger
-	limit time.Duration // of one call
+type Registry struct {
+	table      *Table
+	group      *member.Group
+	links      *link.Set
+	log        logr.Logger
+	rpcTimeout time.Duration // of one call
 
-	mu    sync.Mutex
-	warm  uint64 // epoch for which everything is known
-	lost  losses
-	ready bool
+	mu          sync.Mutex
+	syncedEpoch uint64 // epoch for which everything is known
+	lost        lostMembers
+	synced      bool
 }
 
-// NewHomes returns the homes' part of a process.
-func NewHomes(t *Table, g *member.Group, l *link.Set, limit time.Duration, log logr.Logger) *Homes {
-	return &Homes{table: t, group: g, links: l, limit: limit, log: log}
+// NewRegistry returns the homes' part of a process.
+func NewRegistry(t *Table, g *member.Group, l *link.Set, limit time.Duration, log logr.Logger) *Registry {
+	return &Registry{table: t, group: g, links: l, rpcTimeout: limit, log: log}
 }
 
 const (
-	retryEvery = 20 * time.Millisecond
-	// tries bounds how often a begin is repeated while views or homes settle.
-	tries = 50
+	retryInterval = 20 * time.Millisecond
+	// maxBeginAttempts bounds how often a begin is repeated while views or homes settle.
+	maxBeginAttempts = 50
 )
 
 // Begin enters the request here and at its home. Only Fresh with a nil error allows
 // it to be sent.
-func (h *Homes) Begin(ctx context.Context, id string, print uint64) (Verdict, Record, error) {
+func (h *Registry) Begin(ctx context.Context, id string, print uint64) (Verdict, Record, error) {
 	self := h.group.Self().ID
-	v, r := h.table.Begin(time.Now(), id, print, self, false, h.alive)
-	if v != Fresh {
+	v, r := h.table.Begin(time.Now(), id, print, self, false, h.isMember)
+	if v != VerdictNew {
 		return v, r, nil
 	}
-	v, r, err := h.enter(ctx, id, print, self)
-	if err != nil || v != Fresh {
-		h.table.Drop(id, self)
+	v, r, err := h.beginRemote(ctx, id, print, self)
+	if err != nil || v != VerdictNew {
+		h.table.DropUnsent(id, self)
 	}
 	if err != nil {
-		go h.drop(id, self)
+		go h.sendDrop(id, self)
 	}
 	return v, r, err
 }
 
-// enter begins the request at the home, or at the witness when this process is the home.
-func (h *Homes) enter(ctx context.Context, id string, print uint64, self string) (Verdict, Record, error) {
-	for range tries {
+// beginRemote begins the request at the home, or at the witness when this process is the home.
+func (h *Registry) beginRemote(ctx context.Context, id string, print uint64, self string) (Verdict, Record, error) {
+	for range maxBeginAttempts {
 		if !h.group.Authorized() {
 			// When the store comes back, one process renews first and the others can't
 			// be sure until they have, too, a moment later.
-			if err := pause(ctx); err != nil {
+			if err := waitRetry(ctx); err != nil {
 				return "", Record{}, err
 			}
 			continue
@@ -115,8 +115,8 @@
 		view := h.group.View()
 		home, ok := view.HomeOf(id)
 		if ok && home.ID == self {
-			if !h.isWarm(view.Epoch()) {
-				if err := pause(ctx); err != nil {
+			if !h.isSynced(view.Epoch()) {
+				if err := waitRetry(ctx); err != nil {
 					return "", Record{}, err
 				}
 				continue
@@ -124,81 +124,81 @@
 			home, ok = view.HomeOf(id, self)
 		}
 		if !ok {
-			return Fresh, Record{}, nil // alone: nobody else could be asked about it either
+			return VerdictNew, Record{}, nil // alone: nobody else could be asked about it either
 		}
-		rep, err := h.call(ctx, home, BeginArgs{view.Epoch(), id, print, self})
+		rep, err := h.callBegin(ctx, home, BeginArgs{view.Epoch(), id, print, self})
 		switch {
 		case err != nil:
-			return "", Record{}, errors.Wrap(ErrUnsure, err.Error())
+			return "", Record{}, errors.Wrap(ErrHomeUnavailable, err.Error())
 		case rep.Ready:
 			return rep.Verdict, rep.Record, nil
 		}
-		if err := pause(ctx); err != nil {
+		if err := waitRetry(ctx); err != nil {
 			return "", Record{}, err
 		}
 	}
-	return "", Record{}, errors.Wrap(ErrUnsure, "views or this process's membership did not settle")
+	return "", Record{}, errors.Wrap(ErrHomeUnavailable, "views or this process's membership did not settle")
 }
 
-func (h *Homes) call(ctx context.Context, m member.Member, in BeginArgs) (BeginReply, error) {
-	cctx, cancel := context.WithTimeout(ctx, h.limit)
+func (h *Registry) callBegin(ctx context.Context, m member.Member, in BeginArgs) (BeginReply, error) {
+	cctx, cancel := context.WithTimeout(ctx, h.rpcTimeout)
 	defer cancel()
 	return link.Call[BeginArgs, BeginReply](cctx, h.links.Get(m.Addr), "Peer.Begin", in)
 }
 
-func pause(ctx context.Context) error {
-	if !wait.For(ctx, retryEvery) {
-		return errors.Wrap(ErrUnsure, ctx.Err().Error())
+func waitRetry(ctx context.Context) error {
+	if !wait.For(ctx, retryInterval) {
+		return errors.Wrap(ErrHomeUnavailable, ctx.Err().Error())
 	}
 	return nil
 }
 
-func (h *Homes) alive(id string) bool {
+func (h *Registry) isMember(id string) bool {
 	_, ok := h.group.View().Get(id)
 	return ok
 }
 
-// Serve answers a peer's Begin.
+// HandleBegin answers a peer's Begin.
 //
 // It guards against two homes for one id: during a change of members two processes
 // may each think they are the home. Equal views have one home, and a home answers in
 // a view only after every member of it has moved to that view and passed on its records.
-func (h *Homes) Serve(in BeginArgs) BeginReply {
+func (h *Registry) HandleBegin(in BeginArgs) BeginReply {
 	view := h.group.View()
 	var rep BeginReply
 	if in.Epoch != view.Epoch() || !h.group.Authorized() {
 		return rep
 	}
-	if home, _ := view.HomeOf(in.ID); home.ID == h.group.Self().ID && !h.isWarm(view.Epoch()) {
+	if home, _ := view.HomeOf(in.ID); home.ID == h.group.Self().ID && !h.isSynced(view.Epoch()) {
 		return rep
 	}
 	rep.Ready = true
-	rep.Verdict, rep.Record = h.table.Begin(time.Now(), in.ID, in.Print, in.By, true, h.alive)
+	rep.Verdict, rep.Record = h.table.Begin(time.Now(), in.ID, in.Print, in.By, true, h.isMember)
 	return rep
 }
 
 // Finish notes how a request that was begun here ended, here and at its home.
-func (h *Homes) Finish(r Record) {
+func (h *Registry) Finish(r Record) {
 	r.By = h.group.Self().ID
 	h.table.Finish(time.Now(), r)
-	h.tell(FinishArgs{Record: r})
+	h.sendFinish(FinishArgs{Record: r})
 }
 
-// Drop notes that a request that was begun here was certainly not sent.
-func (h *Homes) Drop(id string) {
+// DropUnsent notes that a request that was begun here was certainly not sent.
+func (h *Registry) DropUnsent(id string) {
 	self := h.group.Self().ID
-	h.table.Drop(id, self)
-	h.drop(id, self)
+	h.table.DropUnsent(id, self)
+	h.sendDrop(id, self)
 }
 
-func (h *Homes) drop(id, by string) {
-	h.tell(FinishArgs{Record: Record{ID: id, By: by}, Drop: true})
+func (h *Registry) sendDrop(id, by string) {
+	h.sendFinish(FinishArgs{Record: Record{ID: id, By: by}, Drop: true})
 }
 
-// tell passes the word to the home and the witness, a few times if it is lost. A home
+// sendFinish passes the word to the home and the witness, a few times if it is lost. A home
 // that never hears it answers repeats with "running" and, once this process is gone,
 // with "unknown": both true.
-func (h *Homes) tell(in FinishArgs) {
+func (h *Registry) sendFinish(in FinishArgs) {
 	self := h.group.Self().ID
 	view := h.group.View()
 	home, ok := view.HomeOf(in.Record.ID)
@@ -209,7 +209,7 @@
 		return
 	}
 	for range 3 {
-		ctx, cancel := context.WithTimeout(context.Background(), h.limit)
+		ctx, cancel := context.WithTimeout(context.Background(), h.rpcTimeout)
 		_, err := link.Call[FinishArgs, bool](ctx, h.links.Get(home.Addr), "Peer.Finish", in)
 		cancel()
 		if err == nil {
@@ -218,29 +218,29 @@
 	}
 }
 
-// Heed takes in a peer's word on how a request ended.
-func (h *Homes) Heed(in FinishArgs) {
+// HandleFinish takes in a peer's word on how a request ended.
+func (h *Registry) HandleFinish(in FinishArgs) {
 	if in.Drop {
-		h.table.Drop(in.Record.ID, in.Record.By)
+		h.table.DropUnsent(in.Record.ID, in.Record.By)
 		return
 	}
 	h.table.Finish(time.Now(), in.Record)
 }
 
-// Give answers a peer's Pull with the records whose home or witness it is.
+// HandlePull answers a peer's Pull with the records whose home or witness it is.
 //
 // The witness's copy guards against deaths one after the other: when the process that
 // sent a request dies, its home alone knows of it, and a repeat after the home's death
 // would run it again.
-func (h *Homes) Give(in PullArgs) PullReply {
+func (h *Registry) HandlePull(in PullArgs) PullReply {
 	view := h.group.View()
 	if view.Epoch() < in.Epoch {
 		return PullReply{}
 	}
 	h.mu.Lock()
-	away := h.lost.names()
+	away := h.lost.absentIDs()
 	h.mu.Unlock()
-	return PullReply{Ready: true, Blank: h.table.Blank(time.Now()), Away: away, Rows: h.table.Select(func(id string) bool {
+	return PullReply{Ready: true, Blank: h.table.IncompleteSince(time.Now()), Away: away, Rows: h.table.Select(func(id string) bool {
 		home, ok := view.HomeOf(id)
 		if ok && home.ID != in.By {
 			home, ok = view.HomeOf(id, home.ID)
@@ -249,15 +249,15 @@
 	})}
 }
 
-func (h *Homes) isWarm(epoch uint64) bool {
+func (h *Registry) isSynced(epoch uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ready && h.warm == epoch
+	return h.synced && h.syncedEpoch == epoch
 }
 
-// Settle learns what the other members of a new view know, until a newer view comes
+// SyncView learns what the other members of a new view know, until a newer view comes
 // or ctx ends. It returns at once for a view that has nobody else in it.
-func (h *Homes) Settle(ctx context.Context, view member.View) {
+func (h *Registry) SyncView(ctx context.Context, view member.View) {
 	self := h.group.Self().ID
 	todo := map[string]member.Member{}
 	for _, m := range view.Members() {
@@ -267,21 +267,21 @@
 	}
 	for len(todo) > 0 && ctx.Err() == nil && h.group.View().Epoch() == view.Epoch() {
 		for id, m := range todo {
-			if h.pull(ctx, m, view.Epoch()) {
+			if h.pullRecords(ctx, m, view.Epoch()) {
 				delete(todo, id)
 			}
 		}
-		if len(todo) > 0 && pause(ctx) != nil {
+		if len(todo) > 0 && waitRetry(ctx) != nil {
 			return
 		}
 	}
 	if len(todo) == 0 {
-		h.settled(view)
+		h.markSynced(view)
 	}
 }
 
-func (h *Homes) pull(ctx context.Context, m member.Member, epoch uint64) bool {
-	cctx, cancel := context.WithTimeout(ctx, 4*h.limit)
+func (h *Registry) pullRecords(ctx context.Context, m member.Member, epoch uint64) bool {
+	cctx, cancel := context.WithTimeout(ctx, 4*h.rpcTimeout)
 	defer cancel()
 	rep, err := link.Call[PullArgs, PullReply](cctx, h.links.Get(m.Addr), "Peer.Pull", PullArgs{epoch, h.group.Self().ID})
 	if err != nil || !rep.Ready {
@@ -291,36 +291,36 @@
 	h.table.Merge(now, rep.Rows)
 	if rep.Blank > 0 {
 		h.mu.Lock()
-		h.lost.hear(rep.Away)
+		h.lost.addReported(rep.Away)
 		h.mu.Unlock()
-		h.table.SetBlank(now.Add(-rep.Blank))
+		h.table.MarkIncomplete(now.Add(-rep.Blank))
 	}
 	return true
 }
 
-// settled notes that everything is known for the view, or that too many members were
+// markSynced notes that everything is known for the view, or that too many members were
 // lost since the last one for that to be true. A process's first view has no last one:
 // what was lost before it came is known to those that were there.
-func (h *Homes) settled(view member.View) {
+func (h *Registry) markSynced(view member.View) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if view.Epoch() < h.warm {
+	if view.Epoch() < h.syncedEpoch {
 		return // a newer view has settled meanwhile
 	}
 	var members []string
 	for _, m := range view.Members() {
 		members = append(members, m.ID)
 	}
-	lost, whole := h.lost.settle(members)
+	lost, whole := h.lost.update(members)
 	if lost > 1 {
-		h.table.SetBlank(time.Now())
+		h.table.MarkIncomplete(time.Now())
 		h.log.Info("request ids may be forgotten", "lost", lost, "epoch", view.Epoch())
 	}
-	if whole && h.table.Restore() {
+	if whole && h.table.MarkComplete() {
 		h.log.Info("request ids are known again", "epoch", view.Epoch())
 	}
-	if h.table.Blank(time.Now()) == 0 {
-		h.lost.forget()
+	if h.table.IncompleteSince(time.Now()) == 0 {
+		h.lost.reset()
 	}
-	h.warm, h.ready = view.Epoch(), true
+	h.syncedEpoch, h.synced = view.Epoch(), true
 }
--- a/internal/route/once/table.go
+++ b/internal/route/once/table.go
@@ -21,13 +21,13 @@
 // Verdict is the answer to Begin.
 type Verdict string
 
-// The verdicts; only Fresh allows the request to be sent.
+// The verdicts; only VerdictNew allows the request to be sent.
 const (
-	Fresh    Verdict = "fresh"
-	Running  Verdict = "running"
-	Done     Verdict = "done"
-	Unknown  Verdict = "unknown"  // it may have run before
-	Mismatch Verdict = "mismatch" // the id belongs to a different request
+	VerdictNew      Verdict = "fresh"
+	VerdictRunning  Verdict = "running"
+	VerdictDone     Verdict = "done"
+	VerdictUnknown  Verdict = "unknown"  // it may have run before
+	VerdictMismatch Verdict = "mismatch" // the id belongs to a different request
 )
 
 // Answer is what a repeat is told of a finished request.
@@ -48,35 +48,35 @@
 	At     time.Time // when it became known here; not passed on
 }
 
-const shards = 32
+const numShards = 32
 
 // Table holds the records of one process; New makes one. It is safe for concurrent use.
 type Table struct {
-	seed   maphash.Seed
-	keep   time.Duration
-	shards [shards]shard
+	seed      maphash.Seed
+	retention time.Duration
+	shards    [numShards]shard
 
-	mu    sync.Mutex
-	blank time.Time // ids made before this time may be missing; zero when none is
+	mu              sync.Mutex
+	incompleteUntil time.Time // ids made before this time may be missing; zero when none is
 }
 
 type shard struct {
-	mu   sync.Mutex
-	rows map[string]Record
-	next time.Time // when old records are dropped next
+	mu         sync.Mutex
+	records    map[string]Record
+	nextExpiry time.Time // when old records are dropped next
 }
 
-// New returns an empty table that keeps each record for keep.
-func New(keep time.Duration) *Table {
-	t := &Table{seed: maphash.MakeSeed(), keep: keep}
+// NewTable returns an empty table that keeps each record for keep.
+func NewTable(keep time.Duration) *Table {
+	t := &Table{seed: maphash.MakeSeed(), retention: keep}
 	for i := range t.shards {
-		t.shards[i].rows = map[string]Record{}
+		t.shards[i].records = map[string]Record{}
 	}
 	return t
 }
 
-func (t *Table) shard(id string) *shard {
-	return &t.shards[maphash.String(t.seed, id)%shards]
+func (t *Table) shardOf(id string) *shard {
+	return &t.shards[maphash.String(t.seed, id)%numShards]
 }
 
 // Begin enters the request unless it is known; alive says whether an entry process
@@ -87,70 +87,70 @@
 // before the process's own call arrives. The process itself tells its callers'
 // repeats apart by its own table.
 func (t *Table) Begin(now time.Time, id string, print uint64, by string, repeats bool, alive func(string) bool) (Verdict, Record) {
-	s := t.shard(id)
+	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(now, t.keep)
-	r, ok := s.rows[id]
+	s.expireRecords(now, t.retention)
+	r, ok := s.records[id]
 	if !ok {
-		if t.missing(now, id) {
-			return Unknown, Record{}
+		if t.mayBeLost(now, id) {
+			return VerdictUnknown, Record{}
 		}
-		s.rows[id] = Record{ID: id, Print: print, By: by, State: StateBegun, At: now}
-		return Fresh, Record{}
+		s.records[id] = Record{ID: id, Print: print, By: by, State: StateBegun, At: now}
+		return VerdictNew, Record{}
 	}
 	if r.State == StateBegun && r.By == by && r.Print == print && repeats {
-		return Fresh, r
+		return VerdictNew, r
 	}
-	return judge(r, print, alive), r
+	return repeatVerdict(r, print, alive), r
 }
 
-func judge(r Record, print uint64, alive func(string) bool) Verdict {
+func repeatVerdict(r Record, print uint64, alive func(string) bool) Verdict {
 	switch {
 	case r.Print != print:
-		return Mismatch
+		return VerdictMismatch
 	case r.State == StateDone:
-		return Done
+		return VerdictDone
 	case r.State == StateUnknown:
-		return Unknown
+		return VerdictUnknown
 	case alive(r.By):
-		return Running
+		return VerdictRunning
 	}
 	// Its process is gone and may have sent it before.
-	return Unknown
+	return VerdictUnknown
 }
 
 // Finish notes how a request ended; a request that is known to be done stays so.
 func (t *Table) Finish(now time.Time, r Record) {
-	s := t.shard(r.ID)
+	s := t.shardOf(r.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.rows[r.ID]; ok && old.State == StateDone {
+	if old, ok := s.records[r.ID]; ok && old.State == StateDone {
 		return
 	}
 	r.At = now
-	s.rows[r.ID] = r
+	s.records[r.ID] = r
 }
 
-// Drop forgets a request that was begun by the process and certainly not sent.
-func (t *Table) Drop(id, by string) {
-	s := t.shard(id)
+// DropUnsent forgets a request that was begun by the process and certainly not sent.
+func (t *Table) DropUnsent(id, by string) {
+	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r, ok := s.rows[id]; ok && r.By == by && r.State == StateBegun {
-		delete(s.rows, id)
+	if r, ok := s.records[id]; ok && r.By == by && r.State == StateBegun {
+		delete(s.records, id)
 	}
 }
 
 // Merge takes in records from another process; what is known further along wins.
 func (t *Table) Merge(now time.Time, rows []Record) {
 	for _, r := range rows {
-		s := t.shard(r.ID)
+		s := t.shardOf(r.ID)
 		s.mu.Lock()
-		old, ok := s.rows[r.ID]
+		old, ok := s.records[r.ID]
 		if !ok || old.State != StateDone && r.State != StateBegun {
 			r.At = now
-			s.rows[r.ID] = r
+			s.records[r.ID] = r
 		}
 		s.mu.Unlock()
 	}
@@ -162,7 +162,7 @@
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
-		for id, r := range s.rows {
+		for id, r := range s.records {
 			if want(id) {
 				rows = append(rows, r)
 			}
@@ -172,46 +172,46 @@
 	return rows
 }
 
-// SetBlank notes that records made up to now may be lost, because more processes
+// MarkIncomplete notes that records made up to now may be lost, because more processes
 // were lost at once than hold a record.
-func (t *Table) SetBlank(now time.Time) {
+func (t *Table) MarkIncomplete(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.After(t.blank) {
-		t.blank = now
+	if now.After(t.incompleteUntil) {
+		t.incompleteUntil = now
 	}
 }
 
-// Restore notes that no record is missing any more, and reports whether one may have been.
-func (t *Table) Restore() bool {
+// MarkComplete notes that no record is missing any more, and reports whether one may have been.
+func (t *Table) MarkComplete() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was := !t.blank.IsZero()
-	t.blank = time.Time{}
+	was := !t.incompleteUntil.IsZero()
+	t.incompleteUntil = time.Time{}
 	return was
 }
 
-// Blank returns how long ago SetBlank's time was, or 0 when the memory is whole, as it is once no record of then
+// IncompleteSince returns how long ago SetBlank's time was, or 0 when the memory is whole, as it is once no record of then
 // would be kept any more.
-func (t *Table) Blank(now time.Time) time.Duration {
+func (t *Table) IncompleteSince(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.blank.IsZero() || now.Sub(t.blank) > t.keep {
+	if t.incompleteUntil.IsZero() || now.Sub(t.incompleteUntil) > t.retention {
 		return 0
 	}
-	return max(now.Sub(t.blank), 1)
+	return max(now.Sub(t.incompleteUntil), 1)
 }
 
-// skew is how far the clocks of callers may be off for an id's own time to be trusted.
-const skew = 2 * time.Second
+// maxClockSkew is how far the clocks of callers may be off for an id's own time to be trusted.
+const maxClockSkew = 2 * time.Second
 
-// missing reports whether an unknown id may be that of a lost record. Ids that tell
+// mayBeLost reports whether an unknown id may be that of a lost record. Ids that tell
 // their time of making (UUID version 7) and were made since are certainly new.
-func (t *Table) missing(now time.Time, id string) bool {
+func (t *Table) mayBeLost(now time.Time, id string) bool {
 	t.mu.Lock()
-	blank := t.blank
+	blank := t.incompleteUntil
 	t.mu.Unlock()
-	if blank.IsZero() || now.Sub(blank) > t.keep {
+	if blank.IsZero() || now.Sub(blank) > t.retention {
 		return false
 	}
 	u, err := uuid.Parse(id)
@@ -219,20 +219,20 @@
 		return true
 	}
 	sec, nsec := u.Time().UnixTime()
-	return !time.Unix(sec, nsec).After(blank.Add(skew))
+	return !time.Unix(sec, nsec).After(blank.Add(maxClockSkew))
 }
 
-const dropEvery = time.Second
+const expiryInterval = time.Second
 
-// drop forgets the records older than keep; the lock is held.
-func (s *shard) drop(now time.Time, keep time.Duration) {
-	if now.Before(s.next) {
+// expireRecords forgets the records older than keep; the lock is held.
+func (s *shard) expireRecords(now time.Time, keep time.Duration) {
+	if now.Before(s.nextExpiry) {
 		return
 	}
-	s.next = now.Add(dropEvery)
-	for id, r := range s.rows {
+	s.nextExpiry = now.Add(expiryInterval)
+	for id, r := range s.records {
 		if now.Sub(r.At) > keep {
-			delete(s.rows, id)
+			delete(s.records, id)
 		}
 	}
 }
--- a/internal/route/pool/action.go
+++ b/internal/route/pool/action.go
@@ -20,9 +20,9 @@
 
 // The reasons of a refusal; in each the request has not been sent anywhere.
 const (
-	ReasonBusy    Reason = "overloaded" // it would wait longer than it can
-	ReasonEmpty   Reason = "no-target"  // no target is usable
-	ReasonExpired Reason = "deadline"   // its deadline passed before a slot was free
+	ReasonOverloaded Reason = "overloaded" // it would wait longer than it can
+	ReasonNoTarget   Reason = "no-target"  // no target is usable
+	ReasonDeadline   Reason = "deadline"   // its deadline passed before a slot was free
 )
 
 // Outcome says how a request at a target ended.
@@ -34,7 +34,7 @@
 	OutcomeFailed  Outcome = "failed"  // an error, or an answer that can't be used
 	OutcomeLost    Outcome = "lost"    // no answer; it may still be running there
 	OutcomeRefused Outcome = "refused" // the target said that it didn't run it
-	OutcomeNever   Outcome = "never"   // it wasn't sent
+	OutcomeNotSent Outcome = "never"   // it wasn't sent
 )
 
 // Result is a request's outcome and how long the target took.
@@ -45,8 +45,8 @@
 	Leaving bool // by the target's own word
 }
 
-// Held is a permit that is out, as it is passed on with its target.
-type Held struct {
+// OutstandingPermit is a permit that is out, as it is passed on with its target.
+type OutstandingPermit struct {
 	Key  Key
 	By   string // the process that uses it
 	Left time.Duration
@@ -63,26 +63,26 @@
 
 // Refuse asks to answer the call at once; After is when it is worth coming back.
 type Refuse struct {
-	Call  Call
-	Why   Reason
-	After time.Duration
+	Call       Call
+	Reason     Reason
+	RetryAfter time.Duration
 }
 
-// Ask asks a peer for N slots.
-type Ask struct {
-	Peer string
-	N    int
-	Wait time.Duration // how long the oldest call has waited
+// Borrow asks a peer for N slots.
+type Borrow struct {
+	Peer        string
+	Slots       int
+	LongestWait time.Duration // how long the oldest call has waited
 }
 
-// Give offers a peer permits that it asked for earlier.
-type Give struct {
+// Lend offers a peer permits that it asked for earlier.
+type Lend struct {
 	Peer    string
 	Permits []Permit
 }
 
-// Free tells a peer that a permit is done with.
-type Free struct {
+// Return tells a peer that a permit is done with.
+type Return struct {
 	Peer   string
 	Key    Key
 	Target string
@@ -91,6 +91,6 @@
 
 func (Send) action()   {}
 func (Refuse) action() {}
-func (Ask) action()    {}
-func (Give) action()   {}
-func (Free) action()   {}
+func (Borrow) action() {}
+func (Lend) action()   {}
+func (Return) action() {}
--- a/internal/route/pool/bench_test.go
+++ b/internal/route/pool/bench_test.go
@@ -13,13 +13,13 @@
 			now := time.Unix(1000, 0)
 			c := New(Options{Self: "e0"})
 			for i := range targets {
-				c.Own(now, fmt.Sprintf("t%04d", i), 8, nil, 0)
+				c.AddTarget(now, fmt.Sprintf("t%04d", i), 8, nil, 0)
 			}
 			id := uint64(0)
 			for b.Loop() {
 				id++
-				got := c.Arrive(now, Call{ID: id, Team: "t", Came: now, Until: now.Add(time.Second)})
-				c.Done(now, got[0].(Send).Permit, Result{Outcome: OutcomeOK, Took: time.Millisecond, Load: -1})
+				got := c.HandleCall(now, Call{ID: id, Team: "t", Arrived: now, Deadline: now.Add(time.Second)})
+				c.HandleResult(now, got[0].(Send).Permit, Result{Outcome: OutcomeOK, Took: time.Millisecond, Load: -1})
 			}
 		})
 	}
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -21,41 +21,41 @@
 // requests hang at their target after their sender has given up. What a user would see of a fault: a target
 // that gets more than its slots refuses or slows what it has; a slot that nobody gives
 // back is capacity lost for good; a call that ends twice or never is an answer lost.
-func TestSlots(t *testing.T) {
+func TestSlotAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const cores, targets, slots = 4, 8, 3
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), cores, targets, slots, 20*time.Millisecond, 500*time.Microsecond)
-		w.hang = rapid.SampledFrom([]float64{0, 0.002, 0.01}).Draw(t, "hang")
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), cores, targets, slots, 20*time.Millisecond, 500*time.Microsecond)
+		w.hangShare = rapid.SampledFrom([]float64{0, 0.002, 0.01}).Draw(t, "hang")
 		begin := w.Now()
-		w.load(rapid.Float64Range(100, 1400).Draw(t, "rate"), begin.Add(5*time.Second), 5*time.Second)
+		w.generateCalls(rapid.Float64Range(100, 1400).Draw(t, "rate"), begin.Add(5*time.Second), 5*time.Second)
 		for range rapid.IntRange(0, 12).Draw(t, "moves") {
 			at := time.Duration(rapid.IntRange(0, 5000).Draw(t, "at")) * time.Millisecond
 			addr := fmt.Sprintf("t%02d", rapid.IntRange(0, targets-1).Draw(t, "target"))
 			to := fmt.Sprintf("e%d", rapid.IntRange(0, cores-1).Draw(t, "to"))
-			w.AfterFunc(at, func() { w.move(addr, to) })
+			w.AfterFunc(at, func() { w.moveTarget(addr, to) })
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "kills") {
 			at := time.Duration(rapid.IntRange(500, 3000).Draw(t, "kill at")) * time.Millisecond
 			id := fmt.Sprintf("e%d", rapid.IntRange(1, cores-1).Draw(t, "dead"))
-			w.AfterFunc(at, func() { w.kill(id) })
+			w.AfterFunc(at, func() { w.killCore(id) })
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "stills") {
 			at := time.Duration(rapid.IntRange(0, 5000).Draw(t, "still at")) * time.Millisecond
 			span := time.Duration(rapid.IntRange(1, 1000).Draw(t, "still for")) * time.Millisecond
 			id := fmt.Sprintf("e%d", rapid.IntRange(0, cores-1).Draw(t, "still"))
-			w.AfterFunc(at, func() { w.stand(id, span) })
+			w.AfterFunc(at, func() { w.suspend(id, span) })
 		}
 		w.RunUntil(begin.Add(time.Minute))
-		if w.unlawful > 0 {
-			t.Fatalf("%d requests were sent by a process that had to stand still", w.unlawful)
+		if w.sentWhileSuspended > 0 {
+			t.Fatalf("%d requests were sent by a process that had to stand still", w.sentWhileSuspended)
 		}
-		if w.over > 0 {
-			t.Fatalf("%d requests reached a target whose slots were all busy", w.over)
+		if w.overSlots > 0 {
+			t.Fatalf("%d requests reached a target whose slots were all busy", w.overSlots)
 		}
-		if w.late > 0 {
-			t.Fatalf("%d refusals came after the deadline", w.late)
+		if w.lateRefusals > 0 {
+			t.Fatalf("%d refusals came after the deadline", w.lateRefusals)
 		}
-		for id, n := range w.ended {
+		for id, n := range w.endings {
 			if n > 1 {
 				t.Fatalf("call %d ended %d times", id, n)
 			}
@@ -65,13 +65,13 @@
 }
 
 // checkIdle holds that after the load nothing waits and every slot is free again.
-func (w *world) checkIdle(t *rapid.T) {
+func (w *simulation) checkIdle(t *rapid.T) {
 	for id, c := range w.cores {
 		if w.dead[id] {
 			continue
 		}
-		if c.Queued() > 0 {
-			t.Fatalf("%s: %d calls still wait", id, c.Queued())
+		if c.QueueLen() > 0 {
+			t.Fatalf("%s: %d calls still wait", id, c.QueueLen())
 		}
 		for _, o := range c.Targets(w.Now()) {
 			if o.Out+o.Ghosts > 0 {
@@ -88,10 +88,10 @@
 func TestOverload(t *testing.T) {
 	const cores, targets, slots = 3, 6, 8
 	const span = 20 * time.Second
-	answered := func(load float64) (*world, int) {
-		w := newWorld(7, cores, targets, slots, 50*time.Millisecond, 500*time.Microsecond)
+	answered := func(load float64) (*simulation, int) {
+		w := newSimulation(7, cores, targets, slots, 50*time.Millisecond, 500*time.Microsecond)
 		begin := w.Now()
-		w.load(load*targets*slots/0.05, begin.Add(span), 2*time.Second)
+		w.generateCalls(load*targets*slots/0.05, begin.Add(span), 2*time.Second)
 		w.RunUntil(begin.Add(span + 5*time.Second))
 		return w, len(w.sent)
 	}
@@ -100,13 +100,13 @@
 	if float64(n) < 0.9*float64(best) {
 		t.Errorf("at twice the capacity %d are answered, at 98 %% %d", n, best)
 	}
-	if w.late > 0 || w.refuse == 0 {
-		t.Errorf("%d of %d refusals came after the deadline", w.late, w.refuse)
+	if w.lateRefusals > 0 || w.refusals == 0 {
+		t.Errorf("%d of %d refusals came after the deadline", w.lateRefusals, w.refusals)
 	}
-	if 100*w.atOnce < 95*w.refuse {
-		t.Errorf("only %d of %d refusals were given on arrival", w.atOnce, w.refuse)
+	if 100*w.immediateRefusals < 95*w.refusals {
+		t.Errorf("only %d of %d refusals were given on arrival", w.immediateRefusals, w.refusals)
 	}
-	t.Logf("answered at 0.98 and 2 of capacity: %d and %d; refused %d", best, n, w.refuse)
+	t.Logf("answered at 0.98 and 2 of capacity: %d and %d; refused %d", best, n, w.refusals)
 }
 
 // A team floods the queue; another team's few calls come after. They must be served in
@@ -114,22 +114,22 @@
 // newest make room.
 func TestFairShare(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := New(Options{Self: "e0", Wait: time.Second})
-	c.Own(now, "t00", 1, nil, 0)
-	call := func(id uint64, team string, p Prio) []Action {
-		return c.Arrive(now, Call{ID: id, Team: team, Prio: p, Came: now, Until: now.Add(time.Minute)})
+	c := New(Options{Self: "e0", MaxWait: time.Second})
+	c.AddTarget(now, "t00", 1, nil, 0)
+	call := func(id uint64, team string, p Priority) []Action {
+		return c.HandleCall(now, Call{ID: id, Team: team, Priority: p, Arrived: now, Deadline: now.Add(time.Minute)})
 	}
 	first := call(1, "flood", "")[0].(Send)
 	for id := uint64(2); id < 30; id++ {
 		call(id, "flood", "")
 	}
 	call(100, "small", "")
-	call(101, "small", PrioUrgent)
-	call(102, "flood", PrioLow)
+	call(101, "small", PriorityUrgent)
+	call(102, "flood", PriorityLow)
 	p := first.Permit
 	var order []uint64
 	for range 5 {
-		for _, a := range c.Done(now, p, Result{Outcome: OutcomeOK, Took: time.Millisecond, Load: -1}) {
+		for _, a := range c.HandleResult(now, p, Result{Outcome: OutcomeOK, Took: time.Millisecond, Load: -1}) {
 			if s, ok := a.(Send); ok {
 				order = append(order, s.Call.ID)
 				p = s.Permit
@@ -144,14 +144,14 @@
 // A target fails everything at once, so it always has a free slot and would draw every
 // request. It must be ejected, tried again after a while by a probe and one request,
 // and half of the targets must stay in use whatever fails.
-func TestEject(t *testing.T) {
+func TestEjection(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
 	for _, a := range []string{"t00", "t01"} {
-		c.Own(now, a, 2, nil, 0)
+		c.AddTarget(now, a, 2, nil, 0)
 	}
 	send := func(id uint64) (Send, bool) {
-		for _, a := range c.Arrive(now, Call{ID: id, Came: now, Until: now.Add(time.Minute)}) {
+		for _, a := range c.HandleCall(now, Call{ID: id, Arrived: now, Deadline: now.Add(time.Minute)}) {
 			if s, ok := a.(Send); ok {
 				return s, true
 			}
@@ -167,13 +167,13 @@
 		if s.Permit.Target == "t00" || id > 20 {
 			out = OutcomeFailed
 		}
-		c.Done(now, s.Permit, Result{Outcome: out, Took: time.Millisecond, Load: -1})
+		c.HandleResult(now, s.Permit, Result{Outcome: out, Took: time.Millisecond, Load: -1})
 	}
 	if got := c.Targets(now); !got[0].Ejected || got[1].Ejected {
 		t.Fatalf("t00 fails always, t01 after it: %+v", got)
 	}
-	now = now.Add(firstEject + time.Millisecond)
-	c.Probed(now, "t00", true, 0, false)
+	now = now.Add(minEjection + time.Millisecond)
+	c.HandleProbe(now, "t00", true, 0, false)
 	a, _ := send(50)
 	b, _ := send(51)
 	if a.Permit.Target == b.Permit.Target && a.Permit.Target == "t00" {
@@ -182,17 +182,17 @@
 }
 
 // The owner of a target is away for longer than its lease while it believes otherwise.
-func TestUnlawful(t *testing.T) {
+func TestOwnershipInvalid(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
-	c.Own(now, "t00", 2, nil, 0)
-	c.SetLawful(now, false)
-	for _, a := range c.Arrive(now, Call{ID: 1, Came: now, Until: now.Add(time.Minute)}) {
+	c.AddTarget(now, "t00", 2, nil, 0)
+	c.SetOwnershipValid(now, false)
+	for _, a := range c.HandleCall(now, Call{ID: 1, Arrived: now, Deadline: now.Add(time.Minute)}) {
 		if _, ok := a.(Send); ok {
 			t.Error("a process that has lost its lease sends to what it owned")
 		}
 	}
-	if got, _ := c.Asked(now, "e1", 1, 0); len(got) > 0 {
+	if got, _ := c.HandleBorrow(now, "e1", 1, 0); len(got) > 0 {
 		t.Error("it lends what it owned")
 	}
 }
@@ -201,42 +201,42 @@
 // itself cut off, while its peers go on. It must neither spend slots of theirs nor ask for
 // them: each would cost a connection and a slot, and its calls would be sent on and on. They
 // go out when it may send again.
-func TestStill(t *testing.T) {
+func TestSuspended(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
-	c.Meet("e1", true)
-	c.Heard(now, "e1", 4, 0, 0)
+	c.AddPeer("e1", true)
+	c.HandleHeartbeat(now, "e1", 4, 0, 0)
 	lent := func(no uint64) Permit { return Permit{Key{"e1", no}, "t01", now.Add(time.Minute)} }
 	call := func(id uint64) []Action {
-		return c.Arrive(now, Call{ID: id, Came: now, Until: now.Add(time.Minute)})
+		return c.HandleCall(now, Call{ID: id, Arrived: now, Deadline: now.Add(time.Minute)})
 	}
 	call(1)
-	first := c.Granted(now, "e1", 1, []Permit{lent(1)}, 4)
+	first := c.HandleGrant(now, "e1", 1, []Permit{lent(1)}, 4)
 	if s, ok := first[0].(Send); !ok || s.Call.ID != 1 {
 		t.Fatalf("before: %+v", first)
 	}
-	c.SetStill(now, true)
+	c.SetSuspended(now, true)
 	for what, actions := range map[string][]Action{
 		"a call":               call(2),
-		"a late answer":        c.Granted(now, "e1", 0, []Permit{lent(2)}, 4),
-		"the end of a request": c.Done(now, lent(1), Result{Outcome: OutcomeOK, Load: -1}),
-		"a heartbeat":          c.Heard(now, "e1", 4, 0, 0),
+		"a late answer":        c.HandleGrant(now, "e1", 0, []Permit{lent(2)}, 4),
+		"the end of a request": c.HandleResult(now, lent(1), Result{Outcome: OutcomeOK, Load: -1}),
+		"a heartbeat":          c.HandleHeartbeat(now, "e1", 4, 0, 0),
 		"a tick":               c.Tick(now),
 	} {
 		for _, a := range actions {
-			if _, ok := a.(Free); !ok {
+			if _, ok := a.(Return); !ok {
 				t.Errorf("%s: %+v", what, a)
 			}
 		}
 	}
-	if c.Queued() != 1 {
-		t.Errorf("%d calls wait", c.Queued())
+	if c.QueueLen() != 1 {
+		t.Errorf("%d calls wait", c.QueueLen())
 	}
-	asked := c.SetStill(now, false)
+	asked := c.SetSuspended(now, false)
 	if len(asked) != 1 {
 		t.Fatalf("after: %+v", asked)
 	}
-	got := c.Granted(now, "e1", 1, []Permit{lent(3)}, 4)
+	got := c.HandleGrant(now, "e1", 1, []Permit{lent(3)}, 4)
 	if s, ok := got[0].(Send); !ok || s.Call.ID != 2 {
 		t.Errorf("after: %+v", got)
 	}
--- a/internal/route/pool/queue.go
+++ b/internal/route/pool/queue.go
@@ -6,78 +6,78 @@
 	"time"
 )
 
-// Prio is a request's priority.
-type Prio string
+// Priority is a request's priority.
+type Priority string
 
 // The priorities; the zero value counts as normal.
 const (
-	PrioUrgent Prio = "urgent"
-	PrioNormal Prio = "normal"
-	PrioLow    Prio = "low"
+	PriorityUrgent Priority = "urgent"
+	PriorityNormal Priority = "normal"
+	PriorityLow    Priority = "low"
 )
 
-func (p Prio) rank() int {
+func (p Priority) level() int {
 	switch p {
-	case PrioUrgent:
+	case PriorityUrgent:
 		return 0
-	case PrioLow:
+	case PriorityLow:
 		return 2
 	}
 	return 1
 }
 
-const ranks = 3
+const numLevels = 3
 
 // Call is one request that wants a slot.
 type Call struct {
-	ID    uint64
-	Team  string
-	Prio  Prio
-	Came  time.Time // when it reached this process
-	Until time.Time // when its caller stops waiting
-	Avoid string    // target of an earlier try, not used again while another is free
+	ID          uint64
+	Team        string
+	Priority    Priority
+	Arrived     time.Time // when it reached this process
+	Deadline    time.Time // when its caller stops waiting
+	AvoidTarget string    // target of an earlier try, not used again while another is free
 }
 
 // queue holds calls by priority, within it in fair turns among teams, within a
 // team in order of arrival. Fairness is by start-time fair queueing: a team's
 // virtual time grows by one for each of its calls that is taken.
 type queue struct {
-	levels [ranks]level
+	levels [numLevels]priorityLevel
 	size   int
 }
 
-type level struct {
-	teams map[string]*line
-	vt    float64
+type priorityLevel struct {
+	teams       map[string]*teamQueue
+	virtualTime float64
 }
 
-type line struct {
-	team  string
-	vt    float64
-	calls []Call
+type teamQueue struct {
+	team        string
+	virtualTime float64
+	calls       []Call
 }
 
 func (q *queue) push(c Call) {
-	l := &q.levels[c.Prio.rank()]
+	l := &q.levels[c.Priority.level()]
 	if l.teams == nil {
-		l.teams = map[string]*line{}
+		l.teams = map[string]*teamQueue{}
 	}
 	t := l.teams[c.Team]
 	if t == nil {
-		t = &line{team: c.Team, vt: l.vt}
+		t = &teamQueue{team: c.Team, virtualTime: l.virtualTime}
 		l.teams[c.Team] = t
 	}
 	t.calls = append(t.calls, c)
 	q.size++
 }
 
-// head returns the line whose turn it is, or nil.
-func (q *queue) head() (*level, *line) {
+// nextTeam returns the line whose turn it is, or nil.
+func (q *queue) nextTeam() (*priorityLevel, *teamQueue) {
 	for i := range q.levels {
 		l := &q.levels[i]
-		var best *line
+		var best *teamQueue
 		for _, t := range l.teams {
-			if best == nil || t.vt < best.vt || t.vt == best.vt && t.team < best.team {
+			if best == nil || t.virtualTime < best.virtualTime || t.virtualTime == best.virtualTime && t.team < best.team {
 				best = t
 			}
 		}
@@ -89,7 +89,7 @@
 }
 
 func (q *queue) peek() (Call, bool) {
-	_, t := q.head()
+	_, t := q.nextTeam()
 	if t == nil {
 		return Call{}, false
 	}
@@ -97,31 +97,31 @@
 }
 
 func (q *queue) pop() (Call, bool) {
-	l, t := q.head()
+	l, t := q.nextTeam()
 	if t == nil {
 		return Call{}, false
 	}
 	c := t.calls[0]
 	t.calls = t.calls[1:]
-	l.vt = t.vt
-	t.vt++
+	l.virtualTime = t.virtualTime
+	t.virtualTime++
 	q.size--
-	l.tidy(t)
+	l.removeIfEmpty(t)
 	return c, true
 }
 
-func (l *level) tidy(t *line) {
+func (l *priorityLevel) removeIfEmpty(t *teamQueue) {
 	if len(t.calls) == 0 {
 		delete(l.teams, t.team)
 	}
 }
 
-// oldest returns when the longest waiting call came; zero when there is none.
-func (q *queue) oldest() time.Time {
+// oldestArrival returns when the longest waiting call came; zero when there is none.
+func (q *queue) oldestArrival() time.Time {
 	var at time.Time
 	for i := range q.levels {
 		for _, t := range q.levels[i].teams {
-			if came := t.calls[0].Came; at.IsZero() || came.Before(at) {
+			if came := t.calls[0].Arrived; at.IsZero() || came.Before(at) {
 				at = came
 			}
 		}
@@ -131,11 +131,11 @@
 
 // remove takes out the call with the id, wherever it stands.
 func (q *queue) remove(id uint64) {
-	q.pick(func(c Call) bool { return c.ID == id })
+	q.removeMatching(func(c Call) bool { return c.ID == id })
 }
 
-// pick takes out the calls for which f holds, in order of priority and team.
-func (q *queue) pick(f func(Call) bool) []Call {
+// removeMatching takes out the calls for which f holds, in order of priority and team.
+func (q *queue) removeMatching(f func(Call) bool) []Call {
 	var got []Call
 	for i := range q.levels {
 		l := &q.levels[i]
@@ -148,22 +148,22 @@
 				got = append(got, c)
 				return true
 			})
-			l.tidy(t)
+			l.removeIfEmpty(t)
 		}
 	}
 	q.size -= len(got)
 	return got
 }
 
-// ahead counts the calls that are served before a new one of that priority and team.
-func (q *queue) ahead(p Prio, team string) int {
+// countAhead counts the calls that are served before a new one of that priority and team.
+func (q *queue) countAhead(p Priority, team string) int {
 	n := 0
-	for i := 0; i < p.rank(); i++ {
+	for i := 0; i < p.level(); i++ {
 		for _, t := range q.levels[i].teams {
 			n += len(t.calls)
 		}
 	}
-	l := &q.levels[p.rank()]
+	l := &q.levels[p.level()]
 	mine := 0
 	if t := l.teams[team]; t != nil {
 		mine = len(t.calls)
@@ -178,11 +178,11 @@
 	return n
 }
 
-// last takes out the call that is served last: the newest of the longest line of the lowest priority.
-func (q *queue) last() (Call, bool) {
+// popLast takes out the call that is served popLast: the newest of the longest line of the lowest priority.
+func (q *queue) popLast() (Call, bool) {
 	for i := len(q.levels) - 1; i >= 0; i-- {
 		l := &q.levels[i]
-		var worst *line
+		var worst *teamQueue
 		for _, t := range l.teams {
 			if worst == nil || len(t.calls) > len(worst.calls) ||
 				len(t.calls) == len(worst.calls) && t.team > worst.team {
@@ -195,7 +195,7 @@
 		c := worst.calls[len(worst.calls)-1]
 		worst.calls = worst.calls[:len(worst.calls)-1]
 		q.size--
-		l.tidy(worst)
+		l.removeIfEmpty(worst)
 		return c, true
 	}
 	return Call{}, false
--- a/internal/route/pool/target.go
+++ b/internal/route/pool/target.go
@@ -8,154 +8,154 @@
 
 // target is a target whose slots this process owns.
 type target struct {
-	addr    string
-	slots   int
-	out     map[Key]held
-	ghosts  int       // slots that requests nobody tracks may still occupy
-	until   time.Time // when the ghosts are gone for certain
-	leaving bool      // by the host list or an operator
-	said    bool      // by its own word it is leaving
-	fails   int
-	ejected time.Time // no request before then; zero when not ejected
-	backoff time.Duration
-	trial   bool // one request at a time until one succeeds
-	took    time.Duration
+	addr                string
+	slots               int
+	permits             map[Key]issued
+	orphans             int       // slots that requests nobody tracks may still occupy
+	orphansUntil        time.Time // when the ghosts are gone for certain
+	leaving             bool      // by the host list or an operator
+	reportedLeaving     bool      // by its own word it is leaving
+	consecutiveFailures int
+	ejectedUntil        time.Time // no request before then; zero when not ejected
+	backoff             time.Duration
+	halfOpen            bool // one request at a time until one succeeds
+	avgLatency          time.Duration
 }
 
-type held struct {
-	by    string
-	until time.Time
+type issued struct {
+	user    string
+	expires time.Time
 }
 
 const (
-	failLimit  = 5                // failures in a row that eject a target
-	firstEject = time.Second      // how long the first ejection lasts
-	lastEject  = 30 * time.Second // how long the longest lasts
-	slowFactor = 2.5              // a target this much slower than the median is used last
-	tookWeight = 0.1              // of a new measurement in the moving average
+	ejectAfterFailures = 5                // failures in a row that eject a target
+	minEjection        = time.Second      // how long the first ejection lasts
+	maxEjection        = 30 * time.Second // how long the longest lasts
+	slowFactor         = 2.5              // a target this much slower than the median is used last
+	latencyWeight      = 0.1              // of a new measurement in the moving average
 )
 
-// free returns how many more requests the target takes now.
-func (t *target) free(now time.Time) int {
-	if t.leaving || t.said || now.Before(t.ejected) {
+// freeSlots returns how many more requests the target takes now.
+func (t *target) freeSlots(now time.Time) int {
+	if t.leaving || t.reportedLeaving || now.Before(t.ejectedUntil) {
 		return 0
 	}
-	n := t.slots - len(t.out) - t.ghosts
-	if t.trial {
-		n = min(n, 1-len(t.out))
+	n := t.slots - len(t.permits) - t.orphans
+	if t.halfOpen {
+		n = min(n, 1-len(t.permits))
 	}
 	return max(n, 0)
 }
 
-// ended takes in the result of a request at the target.
-func (t *target) ended(now time.Time, r Result, life time.Duration, mayEject bool) {
+// recordResult takes in the result of a request at the target.
+func (t *target) recordResult(now time.Time, r Result, life time.Duration, mayEject bool) {
 	switch r.Outcome {
-	case OutcomeNever:
+	case OutcomeNotSent:
 		return
 	case OutcomeOK:
-		t.said = r.Leaving
-		t.fails, t.trial, t.backoff = 0, false, 0
-		t.measure(r.Took)
+		t.reportedLeaving = r.Leaving
+		t.consecutiveFailures, t.halfOpen, t.backoff = 0, false, 0
+		t.updateLatency(r.Took)
 		return
 	case OutcomeLost:
 		// Nobody waits for the request any more but the target may go on with it.
 		// Freeing the slot at once would send it one request more than it has slots,
 		// again and again while it hangs.
-		t.haunt(now, 1, life)
+		t.addOrphans(now, 1, life)
 	case OutcomeRefused:
 		if r.Load >= t.slots {
-			t.haunt(now, 1, life/8)
+			t.addOrphans(now, 1, life/8)
 		}
 	}
-	t.fails++
-	if (t.fails >= failLimit || t.trial) && mayEject {
+	t.consecutiveFailures++
+	if (t.consecutiveFailures >= ejectAfterFailures || t.halfOpen) && mayEject {
 		t.eject(now)
 	}
 }
 
-func (t *target) haunt(now time.Time, n int, life time.Duration) {
-	t.ghosts += n
-	if end := now.Add(life); end.After(t.until) {
-		t.until = end
+func (t *target) addOrphans(now time.Time, n int, life time.Duration) {
+	t.orphans += n
+	if end := now.Add(life); end.After(t.orphansUntil) {
+		t.orphansUntil = end
 	}
 }
 
 func (t *target) eject(now time.Time) {
-	t.backoff = min(max(2*t.backoff, firstEject), lastEject)
-	t.ejected = now.Add(t.backoff)
-	t.trial = true
-	t.fails = 0
+	t.backoff = min(max(2*t.backoff, minEjection), maxEjection)
+	t.ejectedUntil = now.Add(t.backoff)
+	t.halfOpen = true
+	t.consecutiveFailures = 0
 }
 
-func (t *target) measure(took time.Duration) {
-	if t.took == 0 {
-		t.took = took
+func (t *target) updateLatency(took time.Duration) {
+	if t.avgLatency == 0 {
+		t.avgLatency = took
 		return
 	}
-	t.took += time.Duration(tookWeight * float64(took-t.took))
+	t.avgLatency += time.Duration(latencyWeight * float64(took-t.avgLatency))
 }
 
-// heed takes in the number of requests that the target says it has. Ghosts only
+// limitOrphans takes in the number of requests that the target says it has. Ghosts only
 // end and never begin, so there are at most as many as any later count.
-func (t *target) heed(load int) {
+func (t *target) limitOrphans(load int) {
 	if load >= 0 {
-		t.ghosts = min(t.ghosts, load)
+		t.orphans = min(t.orphans, load)
 	}
 }
 
-// lentTo returns how many of the target's permits a process has.
-func (t *target) lentTo(by string) int {
+// permitsOf returns how many of the target's permits a process has.
+func (t *target) permitsOf(by string) int {
 	n := 0
-	for _, h := range t.out {
-		if h.by == by {
+	for _, h := range t.permits {
+		if h.user == by {
 			n++
 		}
 	}
 	return n
 }
 
-// pick returns the target that the process by uses next: not slow before slow, then
+// pickTarget returns the target that the process by uses next: not slow before slow, then
 // the one with the most free slots; nil when none is free.
-func (c *Core) pick(now time.Time, avoid, by string) *target {
+func (c *Core) pickTarget(now time.Time, avoid, by string) *target {
 	var best *target
 	var bestFree int
-	for _, t := range c.order {
-		n := t.free(now)
-		if n == 0 || c.o.Most > 0 && by != c.o.Self && t.lentTo(by) >= c.o.Most {
+	for _, t := range c.sortedTargets {
+		n := t.freeSlots(now)
+		if n == 0 || c.opts.MaxPerBorrower > 0 && by != c.opts.Self && t.permitsOf(by) >= c.opts.MaxPerBorrower {
 			continue
 		}
-		if best == nil || better(t, best, n, bestFree, c.slow, avoid) {
+		if best == nil || isPreferred(t, best, n, bestFree, c.slowLimit, avoid) {
 			best, bestFree = t, n
 		}
 	}
 	return best
 }
 
-func better(t, u *target, tFree, uFree int, limit time.Duration, avoid string) bool {
+func isPreferred(t, u *target, tFree, uFree int, limit time.Duration, avoid string) bool {
 	if a, b := t.addr == avoid, u.addr == avoid; a != b {
 		return b
 	}
-	if a, b := t.took > limit, u.took > limit; a != b {
+	if a, b := t.avgLatency > limit, u.avgLatency > limit; a != b {
 		return b
 	}
 	return tFree > uFree
 }
 
-// learnSlow sets the duration above which a target counts as slow, from the median
+// updateSlowLimit sets the duration above which a target counts as slow, from the median
 // over this process's own targets.
-func (c *Core) learnSlow() {
-	took := make([]time.Duration, 0, len(c.order))
-	for _, t := range c.order {
-		if t.took > 0 {
-			took = append(took, t.took)
+func (c *Core) updateSlowLimit() {
+	took := make([]time.Duration, 0, len(c.sortedTargets))
+	for _, t := range c.sortedTargets {
+		if t.avgLatency > 0 {
+			took = append(took, t.avgLatency)
 		}
 	}
 	if len(took) == 0 {
-		c.slow = 0
+		c.slowLimit = 0
 		return
 	}
 	slices.Sort(took)
-	c.slow = time.Duration(slowFactor * float64(took[(len(took)-1)/2]))
+	c.slowLimit = time.Duration(slowFactor * float64(took[(len(took)-1)/2]))
 }
 
 // mayEject keeps at least half of the owned targets in use, whatever fails.
@@ -164,18 +164,18 @@
 // each would be ejected in turn and nothing be left to answer.
 func (c *Core) mayEject(now time.Time) bool {
 	out := 0
-	for _, t := range c.order {
-		if now.Before(t.ejected) {
+	for _, t := range c.sortedTargets {
+		if now.Before(t.ejectedUntil) {
 			out++
 		}
 	}
-	return 2*(out+1) <= len(c.order)
+	return 2*(out+1) <= len(c.sortedTargets)
 }
 
 func (c *Core) sortTargets() {
-	c.order = c.order[:0]
+	c.sortedTargets = c.sortedTargets[:0]
 	for _, t := range c.targets {
-		c.order = append(c.order, t)
+		c.sortedTargets = append(c.sortedTargets, t)
 	}
-	slices.SortFunc(c.order, func(a, b *target) int { return cmp.Compare(a.addr, b.addr) })
+	slices.SortFunc(c.sortedTargets, func(a, b *target) int { return cmp.Compare(a.addr, b.addr) })
 }
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -20,30 +20,30 @@
 )
 
 var (
-	// ErrNever says that nothing of the request left this process.
-	ErrNever = errors.New("relay: not sent")
-	// ErrUnlawful is the ErrNever of a process that might not use the target any more when
+	// ErrNotSent says that nothing of the request left this process.
+	ErrNotSent = errors.New("relay: not sent")
+	// ErrUnauthorized is the ErrNever of a process that might not use the target any more when
 	// the request was to be written.
-	ErrUnlawful = errors.WithMessage(ErrNever, "relay: not lawful")
+	ErrUnauthorized = errors.WithMessage(ErrNotSent, "relay: not lawful")
 	// ErrRefused says that the target refused the request before running it.
 	ErrRefused = errors.New("relay: refused by the target")
-	// ErrLost says that no whole answer came back; the request may have run or be running.
-	ErrLost = errors.New("relay: answer lost")
-	// ErrAnswer says that the answer can't be used: not this request's, cut short, too
+	// ErrAnswerLost says that no whole answer came back; the request may have run or be running.
+	ErrAnswerLost = errors.New("relay: answer lost")
+	// ErrAnswerUnusable says that the answer can't be used: not this request's, cut short, too
 	// large or without a length. The request may have run.
-	ErrAnswer = errors.New("relay: answer unusable")
+	ErrAnswerUnusable = errors.New("relay: answer unusable")
 
-	errHeld = errors.New("write held back")
+	errWriteRejected = errors.New("write held back")
 )
 
 // Headers between this project, its callers and its targets.
 const (
-	HeaderOutcome = "Sail-Outcome" // not-run, unknown or done
-	HeaderState   = "Sail-State"   // a target's own word: leaving
-	HeaderLoad    = "Sail-Load"    // a target's own count of the requests it has
-	HeaderKey     = "Sail-Key"     // the caller's request id, as targets see it
-	HeaderID      = "X-Request-Id" // of one try; a target repeats it in its answer
-	HeaderTimeout = "Sail-Timeout" // what is left of the caller's patience
+	HeaderOutcome   = "Sail-Outcome" // not-run, unknown or done
+	HeaderState     = "Sail-State"   // a target's own word: leaving
+	HeaderLoad      = "Sail-Load"    // a target's own count of the requests it has
+	HeaderKey       = "Sail-Key"     // the caller's request id, as targets see it
+	HeaderAttemptID = "X-Request-Id" // of one try; a target repeats it in its answer
+	HeaderTimeout   = "Sail-Timeout" // what is left of the caller's patience
 
 	outcomeNotRun = "not-run"
 	stateLeaving  = "leaving"
@@ -80,14 +80,14 @@
 
 // Relay keeps the connections to targets; New makes one.
 type Relay struct {
-	limit  int64       // bytes of an answer
-	lawful func() bool // whether this process may still use what it was given
+	maxAnswerBytes int64       // bytes of an answer
+	authorized     func() bool // whether this process may still use what it was given
 
-	mu    sync.Mutex
-	pipes map[pipeKey]*http.Transport
+	mu         sync.Mutex
+	transports map[transportKey]*http.Transport
 }
 
-type pipeKey struct {
+type transportKey struct {
 	addr  string
 	role  Role
 	conns int
@@ -96,29 +96,29 @@
 // New returns a relay that takes answers of up to limit bytes and sends only while
 // lawful says so.
 func New(limit int64, lawful func() bool) *Relay {
-	return &Relay{limit: limit, lawful: lawful, pipes: map[pipeKey]*http.Transport{}}
+	return &Relay{maxAnswerBytes: limit, authorized: lawful, transports: map[transportKey]*http.Transport{}}
 }
 
-// guarded is a connection that asks for leave with each write.
+// guardedConn is a connection that asks for leave with each write.
 //
 // It guards against a process that is paused after a request got its slot, for so long
 // that others take the target over, and wakes up: the request would be one more than
 // the target has slots. Asked before the exchange, leave would be old by the time of
 // the write; what is left is a pause inside the system call.
-type guarded struct {
+type guardedConn struct {
 	net.Conn
-	lawful func() bool
-	user   atomic.Pointer[try] // whose request is written
+	authorized func() bool
+	attempt    atomic.Pointer[attempt] // whose request is written
 }
 
 // Write implements net.Conn.
-func (g *guarded) Write(p []byte) (int, error) {
-	t := g.user.Load()
-	if t == nil || !t.begin(g.lawful()) {
-		return 0, errHeld
+func (g *guardedConn) Write(p []byte) (int, error) {
+	t := g.attempt.Load()
+	if t == nil || !t.beginWrite(g.authorized()) {
+		return 0, errWriteRejected
 	}
 	n, err := g.Conn.Write(p)
-	t.wrote(n)
+	t.endWrite(n)
 	return n, err
 }
 
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &guarded{Conn: conn, lawful: r.lawful}, nil
+	return &guardedConn{Conn: conn, authorized: r.authorized}, nil
 }
 
 const (
@@ -135,17 +135,17 @@
 	idleTimeout = 60 * time.Second
 )
 
-func (r *Relay) pipe(addr string, role Role, conns int) *http.Transport {
+func (r *Relay) transport(addr string, role Role, conns int) *http.Transport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := pipeKey{addr, role, conns}
-	if t := r.pipes[k]; t != nil {
+	k := transportKey{addr, role, conns}
+	if t := r.transports[k]; t != nil {
 		return t
 	}
-	for old, t := range r.pipes {
+	for old, t := range r.transports {
 		if old.addr == addr && old.role == role {
 			t.CloseIdleConnections()
-			delete(r.pipes, old)
+			delete(r.transports, old)
 		}
 	}
 	t := &http.Transport{
@@ -155,91 +155,91 @@
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	r.pipes[k] = t
+	r.transports[k] = t
 	return t
 }
 
-// Keep closes the idle connections to every target not in addrs.
-func (r *Relay) Keep(addrs map[string]bool) {
+// CloseConnsExcept closes the idle connections to every target not in addrs.
+func (r *Relay) CloseConnsExcept(addrs map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k, t := range r.pipes {
+	for k, t := range r.transports {
 		if !addrs[k.addr] {
 			t.CloseIdleConnections()
-			delete(r.pipes, k)
+			delete(r.transports, k)
 		}
 	}
 }
 
 // Close closes the idle connections to every target.
 func (r *Relay) Close() {
-	r.Keep(nil)
+	r.CloseConnsExcept(nil)
 }
 
-// try is the connection-level state of one exchange.
-type try struct {
+// attempt is the connection-level state of one exchange.
+type attempt struct {
 	conn atomic.Pointer[net.Conn]
 
-	mu      sync.Mutex
-	writing int  // writes under way
-	sent    bool // a byte has left, over whichever connection
-	refused bool // a write wasn't lawful any more
-	over    bool // nothing more may be written
+	mu            sync.Mutex
+	pendingWrites int  // writes under way
+	anySent       bool // a byte has left, over whichever connection
+	unauthorized  bool // a write wasn't lawful any more
+	ended         bool // nothing more may be written
 }
 
-func (t *try) trace() *httptrace.ClientTrace {
+func (t *attempt) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			t.conn.Store(&i.Conn)
-			if g, ok := i.Conn.(*guarded); ok {
-				g.user.Store(t)
+			if g, ok := i.Conn.(*guardedConn); ok {
+				g.attempt.Store(t)
 			}
 		},
 	}
 }
 
-// begin precedes each write and reports whether it may happen.
-func (t *try) begin(lawful bool) bool {
+// beginWrite precedes each write and reports whether it may happen.
+func (t *attempt) beginWrite(lawful bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.over:
+	case t.ended:
 		return false
 	case !lawful:
-		t.refused = true
+		t.unauthorized = true
 		return false
 	}
-	t.writing++
+	t.pendingWrites++
 	return true
 }
 
-// wrote follows each write that began.
-func (t *try) wrote(n int) {
+// endWrite follows each write that began.
+func (t *attempt) endWrite(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writing--
-	t.sent = t.sent || n > 0
+	t.pendingWrites--
+	t.anySent = t.anySent || n > 0
 }
 
-// verdict ends an exchange that brought no answer and says what it has come to.
+// endUnanswered ends an exchange that brought no answer and says what it has come to.
 //
 // It stops later writes, as a transport may go on with the body after RoundTrip has
 // returned: what is told as not sent must stay so.
-func (t *try) verdict() error {
+func (t *attempt) endUnanswered() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.over = true
+	t.ended = true
 	switch {
-	case t.sent || t.writing > 0:
-		return ErrLost
-	case t.refused:
-		return ErrUnlawful
+	case t.anySent || t.pendingWrites > 0:
+		return ErrAnswerLost
+	case t.unauthorized:
+		return ErrUnauthorized
 	}
-	return ErrNever
+	return ErrNotSent
 }
 
-// kill closes the connection, so that whatever else comes over it reaches nobody.
-func (t *try) kill() {
+// closeConn closes the connection, so that whatever else comes over it reaches nobody.
+func (t *attempt) closeConn() {
 	if c := t.conn.Load(); c != nil {
 		_ = (*c).Close()
 	}
@@ -249,32 +249,32 @@
 // of this package's; ctx bounds the exchange. Whatever the error, Answer carries what
 // the target said of itself.
 func (r *Relay) Do(ctx context.Context, addr string, role Role, conns int, q Request) (Answer, error) {
-	var t try
-	req, err := build(httptrace.WithClientTrace(ctx, t.trace()), addr, q)
+	var t attempt
+	req, err := newHTTPRequest(httptrace.WithClientTrace(ctx, t.clientTrace()), addr, q)
 	if err != nil {
-		return Answer{Load: -1}, errors.Wrap(ErrNever, err.Error())
+		return Answer{Load: -1}, errors.Wrap(ErrNotSent, err.Error())
 	}
-	resp, err := r.pipe(addr, role, conns).RoundTrip(req)
+	resp, err := r.transport(addr, role, conns).RoundTrip(req)
 	if err != nil {
-		return Answer{Load: -1}, errors.Wrap(t.verdict(), err.Error())
+		return Answer{Load: -1}, errors.Wrap(t.endUnanswered(), err.Error())
 	}
-	a, err := r.read(resp, q.ID)
+	a, err := r.readAnswer(resp, q.ID)
 	// A refusal is a whole answer, after which the connection may already carry another
 	// request: closing it then would lose that one's answer.
 	if err != nil && !errors.Is(err, ErrRefused) {
-		t.kill()
+		t.closeConn()
 	}
 	_ = resp.Body.Close()
 	return a, err
 }
 
-// build makes the HTTP request.
+// newHTTPRequest makes the HTTP request.
 //
 // A body that can't be had again, and a key under another name than the usual
 // Idempotency-Key, keep the transport from sending the request a second time by
 // itself when a connection breaks: it would do so for any request with that header,
 // and a check-in would run twice.
-func build(ctx context.Context, addr string, q Request) (*http.Request, error) {
+func newHTTPRequest(ctx context.Context, addr string, q Request) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+addr+q.Path, nil)
 	if err != nil {
 		return nil, err
@@ -286,7 +286,7 @@
 	for _, h := range []string{"Idempotency-Key", "X-Idempotency-Key", "Connection", "Te", "Upgrade", "Proxy-Connection", "Keep-Alive", "Transfer-Encoding", "Expect"} {
 		req.Header.Del(h)
 	}
-	req.Header.Set(HeaderID, q.ID)
+	req.Header.Set(HeaderAttemptID, q.ID)
 	if q.Key != "" {
 		req.Header.Set(HeaderKey, q.Key)
 	}
@@ -301,33 +301,33 @@
 	return req, nil
 }
 
-// read takes the whole answer, or says why it can't be used.
-func (r *Relay) read(resp *http.Response, id string) (Answer, error) {
+// readAnswer takes the whole answer, or says why it can't be used.
+func (r *Relay) readAnswer(resp *http.Response, id string) (Answer, error) {
 	a := Answer{Status: resp.StatusCode, Header: resp.Header}
-	a.Load, a.Leaving = self(resp.Header)
-	if got := resp.Header.Get(HeaderID); got != id {
+	a.Load, a.Leaving = reportedStatus(resp.Header)
+	if got := resp.Header.Get(HeaderAttemptID); got != id {
 		// A late or crossed answer: it belongs to another request, whose caller must
 		// not see it here either.
-		return a, errors.Wrap(ErrAnswer, fmt.Sprintf("it carries the id %q", got))
+		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("it carries the id %q", got))
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderOutcome) == outcomeNotRun {
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, r.limit))
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, r.maxAnswerBytes))
 		return a, ErrRefused
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Request.Method != http.MethodHead {
-		return a, errors.Wrap(ErrAnswer, "it has no length, so its end can't be told from a cut")
+		return a, errors.Wrap(ErrAnswerUnusable, "it has no length, so its end can't be told from a cut")
 	}
-	if resp.ContentLength > r.limit {
-		return a, errors.Wrap(ErrAnswer, fmt.Sprintf("it announces %d bytes, at most %d are taken", resp.ContentLength, r.limit))
+	if resp.ContentLength > r.maxAnswerBytes {
+		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("it announces %d bytes, at most %d are taken", resp.ContentLength, r.maxAnswerBytes))
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, r.limit+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, r.maxAnswerBytes+1))
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return a, errors.Wrap(ErrAnswer, "it was cut short")
+		return a, errors.Wrap(ErrAnswerUnusable, "it was cut short")
 	case err != nil:
-		return a, errors.Wrap(ErrLost, err.Error())
-	case int64(len(body)) > r.limit:
-		return a, errors.Wrap(ErrAnswer, fmt.Sprintf("more than %d bytes", r.limit))
+		return a, errors.Wrap(ErrAnswerLost, err.Error())
+	case int64(len(body)) > r.maxAnswerBytes:
+		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("more than %d bytes", r.maxAnswerBytes))
 	}
 	a.Body = body
 	return a, nil
@@ -345,12 +345,12 @@
 		return false, -1, false
 	}
 	defer resp.Body.Close()
-	load, leaving = self(resp.Header)
+	load, leaving = reportedStatus(resp.Header)
 	return resp.StatusCode == http.StatusOK, load, leaving
 }
 
-// self reads what a target says of itself: its load, or -1, and whether it is leaving.
-func self(h http.Header) (load int, leaving bool) {
+// reportedStatus reads what a target says of itself: its load, or -1, and whether it is leaving.
+func reportedStatus(h http.Header) (load int, leaving bool) {
 	load, err := strconv.Atoi(h.Get(HeaderLoad))
 	if err != nil || load < 0 {
 		load = -1
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -15,13 +15,13 @@
 	faketarget "bramleysail.example/bramleysail/internal/fake/target"
 )
 
-func always() bool { return true }
+func alwaysAuthorized() bool { return true }
 
 // A process is paused after a request got its slot and wakes up when others have the
 // target. Nothing of the request may leave it any more.
-func TestUnlawful(t *testing.T) {
+func TestUnauthorized(t *testing.T) {
 	target := faketarget.New(4, 0)
-	addr := serve(t, target)
+	addr := startTarget(t, target)
 	lawful := true
 	r := New(1<<20, func() bool { return lawful })
 	defer r.Close()
@@ -41,7 +41,7 @@
 // A process loses its right to a target between a request's slot and its writing, over a
 // new connection or a used one. Nothing has left it: the caller must not be told that the
 // request may have run.
-func TestUnlawfulIsNotSent(t *testing.T) {
+func TestUnauthorizedIsNotSent(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		used bool
@@ -53,7 +53,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			target := faketarget.New(4, 0)
-			addr := serve(t, target)
+			addr := startTarget(t, target)
 			lawful := true
 			r := New(1<<20, func() bool { return lawful })
 			defer r.Close()
@@ -67,7 +67,7 @@
 				}
 			}
 			lawful = false
-			if err := send("after"); !errors.Is(err, ErrUnlawful) || !errors.Is(err, ErrNever) || errors.Is(err, ErrLost) {
+			if err := send("after"); !errors.Is(err, ErrUnauthorized) || !errors.Is(err, ErrNotSent) || errors.Is(err, ErrAnswerLost) {
 				t.Errorf("%v", err)
 			}
 			if n := target.Runs("after"); n != 0 {
@@ -79,8 +79,8 @@
 
 // A process loses its right to a target with half of a request written. The target may
 // have begun with it: it must not be told as not run.
-func TestPartlySentIsLost(t *testing.T) {
-	addr := serve(t, faketarget.New(4, 0))
+func TestPartlySentIsAnswerLost(t *testing.T) {
+	addr := startTarget(t, faketarget.New(4, 0))
 	var writes atomic.Int32
 	r := New(1<<20, func() bool { return writes.Add(1) == 1 })
 	defer r.Close()
@@ -89,7 +89,7 @@
 	if writes.Load() < 2 {
 		t.Fatal("the request went out in one write")
 	}
-	if !errors.Is(err, ErrLost) || errors.Is(err, ErrNever) {
+	if !errors.Is(err, ErrAnswerLost) || errors.Is(err, ErrNotSent) {
 		t.Errorf("%v", err)
 	}
 }
@@ -98,13 +98,13 @@
 // left: the caller must not be told that the request may have run.
 func TestClosedBeforeWriteIsNotSent(t *testing.T) {
 	target := faketarget.New(4, 0)
-	addr := serve(t, target)
-	r := New(1<<20, always)
+	addr := startTarget(t, target)
+	r := New(1<<20, alwaysAuthorized)
 	defer r.Close()
 	var closed atomic.Bool
-	r.pipe(addr, RoleOwner, 1).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	r.transport(addr, RoleOwner, 1).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
-		return &guarded{Conn: closing{c, &closed}, lawful: always}, err
+		return &guardedConn{Conn: resetConn{c, &closed}, authorized: alwaysAuthorized}, err
 	}
 	send := func(key string) error {
 		_, err := r.Do(context.Background(), addr, RoleOwner, 1, Request{ID: key, Key: key, Method: http.MethodPost, Path: "/", Body: []byte("x")})
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	closed.Store(true)
-	if err := send("after"); !errors.Is(err, ErrNever) || errors.Is(err, ErrUnlawful) || errors.Is(err, ErrLost) {
+	if err := send("after"); !errors.Is(err, ErrNotSent) || errors.Is(err, ErrUnauthorized) || errors.Is(err, ErrAnswerLost) {
 		t.Errorf("%v", err)
 	}
 	if n := target.Runs("after"); n != 0 {
@@ -122,20 +122,20 @@
 	}
 }
 
-// closing is a connection whose other side has closed it, once closed is set.
-type closing struct {
+// resetConn is a connection whose other side has closed it, once closed is set.
+type resetConn struct {
 	net.Conn
 	closed *atomic.Bool
 }
 
-func (c closing) Write(p []byte) (int, error) {
+func (c resetConn) Write(p []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, syscall.ECONNRESET
 	}
 	return c.Conn.Write(p)
 }
 
-func serve(t *testing.T, target *faketarget.Target) string {
+func startTarget(t *testing.T, target *faketarget.Target) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -151,10 +151,10 @@
 // body. HTTP libraries take such a cut for an idle connection that was closed and send
 // the request again by themselves if it carries the usual idempotency header: the
 // bottle would be checked in twice and nobody would know.
-func TestNotRepeated(t *testing.T) {
+func TestTransportDoesNotResend(t *testing.T) {
 	target := faketarget.New(4, 0)
-	addr := serve(t, target)
-	r := New(1<<20, always)
+	addr := startTarget(t, target)
+	r := New(1<<20, alwaysAuthorized)
 	defer r.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	target.SetFault(faketarget.FaultDrop)
-	if err := send("2", "bottle"); !errors.Is(err, ErrLost) {
+	if err := send("2", "bottle"); !errors.Is(err, ErrAnswerLost) {
 		t.Errorf("a cut connection: %v", err)
 	}
 	if n := target.Runs("bottle"); n != 1 {
@@ -176,16 +176,16 @@
 }
 
 // Nobody listens: that, and only that, is certainly not sent.
-func TestNever(t *testing.T) {
+func TestUnreachableIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	r := New(1<<20, always)
+	r := New(1<<20, alwaysAuthorized)
 	defer r.Close()
-	if _, err := r.Do(context.Background(), addr, RoleOwner, 1, Request{ID: "1", Method: http.MethodPost, Path: "/"}); !errors.Is(err, ErrNever) {
+	if _, err := r.Do(context.Background(), addr, RoleOwner, 1, Request{ID: "1", Method: http.MethodPost, Path: "/"}); !errors.Is(err, ErrNotSent) {
 		t.Errorf("%v", err)
 	}
 }
@@ -196,12 +196,12 @@
 	got := make(chan http.Header, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got <- r.Header
-		w.Header().Set(HeaderID, r.Header.Get(HeaderID))
+		w.Header().Set(HeaderAttemptID, r.Header.Get(HeaderAttemptID))
 		w.Header().Set(HeaderLoad, "3")
 		w.Header().Set(HeaderState, "leaving")
 	}))
 	defer srv.Close()
-	r := New(1<<20, always)
+	r := New(1<<20, alwaysAuthorized)
 	defer r.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -215,7 +215,7 @@
 	if err != nil || left <= 0 || left > time.Minute {
 		t.Errorf("%s: %q", HeaderTimeout, h.Get(HeaderTimeout))
 	}
-	if h.Get(HeaderID) != "try-1" || h.Get(HeaderKey) != "bottle" || h.Get("X-Mine") != "kept" || h.Get("Te")+h.Get("Idempotency-Key") != "" {
+	if h.Get(HeaderAttemptID) != "try-1" || h.Get(HeaderKey) != "bottle" || h.Get("X-Mine") != "kept" || h.Get("Te")+h.Get("Idempotency-Key") != "" {
 		t.Errorf("headers at the target: %v", h)
 	}
 }
@@ -226,8 +226,8 @@
 func TestRefusedKeepsConnection(t *testing.T) {
 	target := faketarget.New(4, 0)
 	target.SetFault(faketarget.FaultRefuse)
-	addr := serve(t, target)
-	r := New(1<<20, always)
+	addr := startTarget(t, target)
+	r := New(1<<20, alwaysAuthorized)
 	defer r.Close()
 	for i := range 20 {
 		_, err := r.Do(context.Background(), addr, RoleOwner, 1, Request{ID: "r", Key: "k", Method: http.MethodPost, Path: "/", Body: []byte("x")})
