--- a/internal/batch/hold/bucket.go
+++ b/internal/batch/hold/bucket.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	bucketPrefix = "jobs/"
-	// commitEvery is how long changes gather before they are written together.
-	commitEvery = 200 * time.Millisecond
-	reviewEvery = time.Second
+	bucketKeyPrefix = "jobs/"
+	// commitInterval is how long changes gather before they are written together.
+	commitInterval = 200 * time.Millisecond
+	expireInterval = time.Second
 )
 
-// bucket is a bucket of jobs that is held here.
-type bucket struct {
-	h    *Holder
-	name string
-	ep   uint64
-	rev  uint64 // of the record as last read or written
+// heldBucket is a heldBucket of jobs that is held here.
+type heldBucket struct {
+	holder *Holder
+	name   string
+	epoch  uint64
+	rev    uint64 // of the record as last read or written
 
 	mu      sync.Mutex
 	core    *jobs.Core
-	ended   bool
+	closed  bool
 	changed chan struct{} // closed and renewed at each write
 	cancel  context.CancelFunc
 }
@@ -41,57 +41,57 @@
 	return b, errors.Wrap(json.Unmarshal(value, &b), "hold: record of a bucket")
 }
 
-// takeBucket reads a bucket's record and holds it from now on.
-func (h *Holder) takeBucket(ctx context.Context, name string, row shard.Row) {
-	e, err := h.o.Store.Get(ctx, bucketPrefix+name)
+// loadBucket reads a bucket's record and holds it from now on.
+func (h *Holder) loadBucket(ctx context.Context, name string, row shard.Row) {
+	e, err := h.opts.Store.Get(ctx, bucketKeyPrefix+name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return
 	}
 	var rec jobs.Bucket
 	if err == nil {
 		if rec, err = decodeBucket(e.Value); err != nil {
-			h.o.Log.Error(err, "bucket not read", "bucket", name)
+			h.opts.Log.Error(err, "bucket not read", "bucket", name)
 			return
 		}
 	}
 	bctx, cancel := context.WithCancel(ctx)
-	b := &bucket{h: h, name: name, ep: row.Ep, rev: e.Rev, core: jobs.New(rec, row.Ep),
+	b := &heldBucket{holder: h, name: name, epoch: row.Ep, rev: e.Rev, core: jobs.New(rec, row.Ep),
 		changed: make(chan struct{}), cancel: cancel}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if mine, ok := h.o.Keeper.Mine(BucketTable)[name]; !ok || mine.Ep != row.Ep || h.buckets[name] != nil {
+	if mine, ok := h.opts.Keeper.Mine(BucketTable)[name]; !ok || mine.Ep != row.Ep || h.buckets[name] != nil {
 		cancel()
 		return
 	}
 	h.buckets[name] = b
-	h.wg.Go(func() { b.run(bctx) })
-	h.o.Log.V(1).Info("bucket held", "bucket", name, "ep", row.Ep, "jobs", len(rec.Jobs))
+	h.wg.Go(func() { b.commitLoop(bctx) })
+	h.opts.Log.V(1).Info("bucket held", "bucket", name, "ep", row.Ep, "jobs", len(rec.Jobs))
 }
 
-// end stops the holding; nothing is answered from it any more.
-func (b *bucket) end() {
+// close stops the holding; nothing is answered from it any more.
+func (b *heldBucket) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ended = true
+	b.closed = true
 	b.cancel()
-	b.wake()
+	b.notifyWaiters()
 }
 
-func (b *bucket) wake() {
+func (b *heldBucket) notifyWaiters() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// run writes the record whenever something has changed: one write at a time, with all
+// commitLoop writes the record whenever something has changed: one write at a time, with all
 // that has gathered since the last.
-func (b *bucket) run(ctx context.Context) {
-	t := time.NewTicker(commitEvery)
+func (b *heldBucket) commitLoop(ctx context.Context) {
+	t := time.NewTicker(commitInterval)
 	defer t.Stop()
 	var reviewed time.Time
 	for {
-		if time.Since(reviewed) > reviewEvery {
+		if time.Since(reviewed) > expireInterval {
 			reviewed = time.Now()
-			b.review()
+			b.parkAndExpire()
 		}
 		if !b.commit(ctx) {
 			return
@@ -104,61 +104,61 @@
 	}
 }
 
-func (b *bucket) review() {
-	conf := b.h.o.Config()
-	zones := b.h.rackZones()
+func (b *heldBucket) parkAndExpire() {
+	conf := b.holder.opts.Config()
+	zones := b.holder.rackZones()
 	var racks []string
 	for r := range zones {
 		racks = append(racks, r)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.Review(time.Now(), racks, func(kind, rack string) bool { return allowed(conf, kind, zones[rack]) })
+	b.core.ParkAndExpire(time.Now(), racks, func(kind, rack string) bool { return kindAllowed(conf, kind, zones[rack]) })
 }
 
 // commit writes what has changed and reports whether the bucket is still held.
-func (b *bucket) commit(ctx context.Context) bool {
+func (b *heldBucket) commit(ctx context.Context) bool {
 	b.mu.Lock()
-	if b.ended || !b.core.Dirty() {
+	if b.closed || !b.core.NeedsWrite() {
 		defer b.mu.Unlock()
-		return !b.ended
+		return !b.closed
 	}
-	value, err := b.core.Begin(uuid.NewString())
+	value, err := b.core.BeginWrite(uuid.NewString())
 	b.mu.Unlock()
 	if err != nil {
-		b.h.o.Log.Error(err, "bucket not written", "bucket", b.name)
+		b.holder.opts.Log.Error(err, "bucket not written", "bucket", b.name)
 		return false
 	}
 	// While the store is away this goes on trying: nothing that waits for the write is
 	// answered meanwhile.
-	err = store.SwapWithRetry(ctx, b.h.o.Store, bucketPrefix+b.name, value, b.rev, store.ValueEquals(value))
+	err = store.SwapWithRetry(ctx, b.holder.opts.Store, bucketKeyPrefix+b.name, value, b.rev, store.ValueEquals(value))
 	if err == nil {
-		err = b.reread(ctx, value)
+		err = b.readRevision(ctx, value)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if err != nil || b.ended {
-		b.lose(err)
+	if err != nil || b.closed {
+		b.abandon(err)
 		return false
 	}
-	b.core.Ended(true)
-	b.wake()
+	b.core.EndWrite(true)
+	b.notifyWaiters()
 	return true
 }
 
-// lose drops a holding whose record another has written, or whose last write is
+// abandon drops a holding whose record another has written, or whose last write is
 // uncertain; it is read anew. The lock is held.
-func (b *bucket) lose(err error) {
-	b.ended = true
+func (b *heldBucket) abandon(err error) {
+	b.closed = true
 	b.cancel()
-	b.wake()
+	b.notifyWaiters()
 	if err != nil && !errors.Is(err, store.ErrOutcomeUnknown) {
-		b.h.o.Log.Info("bucket lost", "bucket", b.name, "err", err.Error())
+		b.holder.opts.Log.Info("bucket lost", "bucket", b.name, "err", err.Error())
 	}
-	go b.h.forget(b)
+	go b.holder.removeBucket(b)
 }
 
-func (h *Holder) forget(b *bucket) {
+func (h *Holder) removeBucket(b *heldBucket) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.buckets[b.name] == b {
@@ -166,11 +166,11 @@
 	}
 }
 
-// reread finds the revision of the record just written; the service's answer to a
+// readRevision finds the revision of the record just written; the service's answer to a
 // write doesn't name it.
-func (b *bucket) reread(ctx context.Context, value []byte) error {
+func (b *heldBucket) readRevision(ctx context.Context, value []byte) error {
 	for {
-		e, err := b.h.o.Store.Get(ctx, bucketPrefix+b.name)
+		e, err := b.holder.opts.Store.Get(ctx, bucketKeyPrefix+b.name)
 		switch {
 		case err == nil && string(e.Value) == string(value):
 			b.rev = e.Rev
@@ -180,16 +180,16 @@
 		case ctx.Err() != nil:
 			return err
 		}
-		wait.For(ctx, commitEvery)
+		wait.For(ctx, commitInterval)
 	}
 }
 
 // submit takes in a job or its cancellation and waits until the store holds it.
-func (b *bucket) submit(ctx context.Context, in SubmitArgs) SubmitReply {
+func (b *heldBucket) submit(ctx context.Context, in SubmitArgs) SubmitReply {
 	b.mu.Lock()
-	if b.ended {
+	if b.closed {
 		b.mu.Unlock()
-		return SubmitReply{Code: CodeAway, Text: ErrAway.Error()}
+		return SubmitReply{Code: CodeOutcomeUnknown, Text: ErrOutcomeUnknown.Error()}
 	}
 	var err error
 	if in.Cancel {
@@ -203,18 +203,18 @@
 	}
 	for {
 		b.mu.Lock()
-		j, ok := b.core.Kept(in.Spec.ID)
-		ended, changed := b.ended, b.changed
+		j, ok := b.core.CommittedJob(in.Spec.ID)
+		ended, changed := b.closed, b.changed
 		b.mu.Unlock()
 		switch {
 		case ok && (!in.Cancel || j.State != jobs.StateOpen):
 			return SubmitReply{Job: j, Code: CodeOK}
 		case ended:
-			return SubmitReply{Code: CodeAway, Text: ErrAway.Error()}
+			return SubmitReply{Code: CodeOutcomeUnknown, Text: ErrOutcomeUnknown.Error()}
 		}
 		select {
 		case <-ctx.Done():
-			return SubmitReply{Code: CodeAway, Text: ErrAway.Error()}
+			return SubmitReply{Code: CodeOutcomeUnknown, Text: ErrOutcomeUnknown.Error()}
 		case <-changed:
 		}
 	}
@@ -222,27 +222,27 @@
 
 func codeOf(err error) Code {
 	switch {
-	case errors.Is(err, jobs.ErrSpec):
+	case errors.Is(err, jobs.ErrInvalidSpec):
 		return CodeInvalid
-	case errors.Is(err, jobs.ErrExists):
-		return CodeExists
-	case errors.Is(err, jobs.ErrAbsent):
-		return CodeAbsent
+	case errors.Is(err, jobs.ErrIDTaken):
+		return CodeIDTaken
+	case errors.Is(err, jobs.ErrNotFound):
+		return CodeNotFound
 	}
-	return CodeFull
+	return CodeBucketFull
 }
 
-// hear answers a rack's report.
-func (b *bucket) hear(rep jobs.Report) jobs.Answer {
-	conf := b.h.o.Config()
+// handleReport answers a rack's report.
+func (b *heldBucket) handleReport(rep jobs.RackReport) jobs.RackReply {
+	conf := b.holder.opts.Config()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	// Sure is asked with the lock held and last: an answer from a holding that has
 	// lapsed would name places that another holder has changed since.
-	if b.ended || !b.h.o.Keeper.Sure() {
-		return jobs.Answer{}
+	if b.closed || !b.holder.opts.Keeper.Sure() {
+		return jobs.RackReply{}
 	}
-	return b.core.Hear(time.Now(), rep, func(kind string) bool {
-		return allowed(conf, kind, rep.Zone) && conf.Usable(rep.Zone)
+	return b.core.HandleReport(time.Now(), rep, func(kind string) bool {
+		return kindAllowed(conf, kind, rep.Zone) && conf.Usable(rep.Zone)
 	})
 }
--- a/internal/batch/hold/hold_test.go
+++ b/internal/batch/hold/holder_test.go
@@ -19,9 +19,9 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// newHolder returns the holder of the only member, to whom the table gives rack0. The
+// newTestHolder returns the holder of the only member, to whom the table gives rack0. The
 // host list is empty until it is set.
-func newHolder(t *testing.T, list *[]hosts.Host) *Holder {
+func newTestHolder(t *testing.T, list *[]hosts.Host) *Holder {
 	t.Helper()
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
@@ -58,21 +58,21 @@
 	}
 	return New(Options{
 		Store: s, Group: group, Keeper: keeper, Links: links,
-		Config:  func() sheet.Config { return sheet.Config{} },
-		Age:     func() time.Duration { return 0 },
-		Hosts:   func() []hosts.Host { return *list },
-		Buckets: 1, Lease: time.Minute, Poll: time.Second, Fresh: time.Minute, Timeout: time.Minute,
+		Config:      func() sheet.Config { return sheet.Config{} },
+		ConfigAge:   func() time.Duration { return 0 },
+		Hosts:       func() []hosts.Host { return *list },
+		BucketCount: 1, LeaseTTL: time.Minute, PollInterval: time.Second, MaxConfigAge: time.Minute, CallTimeout: time.Minute,
 		Log: logr.Discard(), Scope: tally.NoopScope,
 	})
 }
 
 // A process that has just started is given a rack before it has read the host list.
 // Holding the rack without its failure domain, it would never get a task for it.
-func TestRackBeforeHosts(t *testing.T) {
+func TestRackBeforeHostList(t *testing.T) {
 	var list []hosts.Host
-	h := newHolder(t, &list)
-	follow := func() []*rackHolding {
-		h.follow(context.Background())
+	h := newTestHolder(t, &list)
+	follow := func() []*heldRack {
+		h.reconcile(context.Background())
 		h.wg.Wait()
 		return h.heldRacks()
 	}
--- a/internal/batch/hold/rack.go
+++ b/internal/batch/hold/rack.go
@@ -14,39 +14,39 @@
 	"bramleysail.example/bramleysail/internal/plat/hosts"
 )
 
-// rackHolding is a rack that is held here.
-type rackHolding struct {
-	name string
-	ep   uint64
+// heldRack is a rack that is held here.
+type heldRack struct {
+	name  string
+	epoch uint64
 
-	mu      sync.Mutex
-	core    *rack.Core
-	waiting map[string]int // tasks without a rack, by bucket, as last heard
-	urgent  map[string]int // those of them that are urgent
-	turn    int
-	polled  map[string]bool // workers with a report under way
+	mu           sync.Mutex
+	core         *rack.Core
+	waitingTasks map[string]int // tasks without a rack, by bucket, as last heard
+	urgentTasks  map[string]int // those of them that are urgent
+	lastOffered  int
+	polling      map[string]bool // workers with a report under way
 }
 
-// takeRack holds a rack from now on; its workers are fenced one by one.
-func (h *Holder) takeRack(name, zone string, row shard.Row) {
-	r := &rackHolding{name: name, ep: row.Ep, waiting: map[string]int{}, urgent: map[string]int{}, polled: map[string]bool{},
-		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Ep: row.Ep, Lease: h.o.Lease, Fresh: h.o.Fresh, Bucket: h.Bucket})}
+// addRack holds a rack from now on; its workers are fenced one by one.
+func (h *Holder) addRack(name, zone string, row shard.Row) {
+	r := &heldRack{name: name, epoch: row.Ep, waitingTasks: map[string]int{}, urgentTasks: map[string]int{}, polling: map[string]bool{},
+		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Ep: row.Ep, Lease: h.opts.LeaseTTL, Fresh: h.opts.MaxConfigAge, Bucket: h.BucketOf})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if mine, ok := h.o.Keeper.Mine(RackTable)[name]; ok && mine.Ep == row.Ep && h.racks[name] == nil {
+	if mine, ok := h.opts.Keeper.Mine(RackTable)[name]; ok && mine.Ep == row.Ep && h.racks[name] == nil {
 		h.racks[name] = r
-		h.o.Log.Info("rack held", "rack", name, "zone", zone, "ep", row.Ep)
+		h.opts.Log.Info("rack held", "rack", name, "zone", zone, "ep", row.Ep)
 	}
 }
 
-func (h *Holder) heldRacks() []*rackHolding {
+func (h *Holder) heldRacks() []*heldRack {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := make([]*rackHolding, 0, len(h.racks))
+	list := make([]*heldRack, 0, len(h.racks))
 	for _, r := range h.racks {
 		list = append(list, r)
 	}
-	slices.SortFunc(list, func(a, b *rackHolding) int {
+	slices.SortFunc(list, func(a, b *heldRack) int {
 		if a.name < b.name {
 			return -1
 		}
@@ -55,16 +55,16 @@
 	return list
 }
 
-// tend lets each rack's core do what is due and carries it out.
-func (h *Holder) tend(ctx context.Context) {
-	if !h.o.Keeper.Sure() {
+// tickRacks lets each rack's core do what is due and carries it out.
+func (h *Holder) tickRacks(ctx context.Context) {
+	if !h.opts.Keeper.Sure() {
 		return
 	}
 	now := time.Now()
-	conf := h.o.Config()
-	confirmed := now.Add(-min(h.o.Age(), time.Hour))
+	conf := h.opts.Config()
+	confirmed := now.Add(-min(h.opts.ConfigAge(), time.Hour))
 	byRack := map[string][]string{}
-	for _, w := range h.o.Hosts() {
+	for _, w := range h.opts.Hosts() {
 		if w.Kind == hosts.KindWorker {
 			byRack[w.Rack] = append(byRack[w.Rack], w.Addr)
 		}
@@ -75,36 +75,36 @@
 		actions := r.core.Tick(now, rack.Config{Usable: conf.Usable(r.core.Zone()), Confirmed: confirmed})
 		r.mu.Unlock()
 		for _, a := range actions {
-			h.wg.Go(func() { h.do(ctx, r, a) })
+			h.wg.Go(func() { h.execute(ctx, r, a) })
 		}
-		h.poll(ctx, r, byRack[r.name])
+		h.pollWorkers(ctx, r, byRack[r.name])
 	}
 }
 
-// do carries out one command and hands its result to the core.
-func (h *Holder) do(ctx context.Context, r *rackHolding, a rack.Action) {
+// execute carries out one command and hands its result to the core.
+func (h *Holder) execute(ctx context.Context, r *heldRack, a rack.Action) {
 	switch a := a.(type) {
 	case rack.Fence:
-		res := command(ctx, h.workers, a.Addr, "fence", a.Msg)
-		r.tell(func(now time.Time) { r.core.Fenced(now, a.Addr, res) })
+		res := sendCommand(ctx, h.workerClient, a.Addr, "fence", a.Msg)
+		r.update(func(now time.Time) { r.core.Fenced(now, a.Addr, res) })
 	case rack.Renew:
-		res := command(ctx, h.workers, a.Addr, "renew", a.Msg)
-		r.tell(func(now time.Time) { r.core.Renewed(now, a.Addr, res) })
+		res := sendCommand(ctx, h.workerClient, a.Addr, "renew", a.Msg)
+		r.update(func(now time.Time) { r.core.Renewed(now, a.Addr, res) })
 	case rack.Start:
-		res := command(ctx, h.workers, a.Addr, "start", a.Msg)
-		h.o.Scope.Tagged(map[string]string{"result": resultName(res)}).Counter("starts").Inc(1)
-		r.tell(func(now time.Time) { r.core.Started(now, a.Place, res) })
+		res := sendCommand(ctx, h.workerClient, a.Addr, "start", a.Msg)
+		h.opts.Scope.Tagged(map[string]string{"result": resultLabel(res)}).Counter("starts").Inc(1)
+		r.update(func(now time.Time) { r.core.Started(now, a.Place, res) })
 	case rack.Act:
-		res := command(ctx, h.workers, a.Addr, "act", a.Msg)
+		res := sendCommand(ctx, h.workerClient, a.Addr, "act", a.Msg)
 		if a.Msg.Verb == wire.VerbCheckpoint || a.Msg.Verb == wire.VerbStop {
-			h.o.Scope.Tagged(map[string]string{"verb": string(a.Msg.Verb)}).Counter("evictions").Inc(1)
-			h.o.Log.Info("task evicted", "task", a.Msg.ID, "verb", string(a.Msg.Verb), "worker", a.Addr)
+			h.opts.Scope.Tagged(map[string]string{"verb": string(a.Msg.Verb)}).Counter("evictions").Inc(1)
+			h.opts.Log.Info("task evicted", "task", a.Msg.TaskID, "verb", string(a.Msg.Verb), "worker", a.Addr)
 		}
-		r.tell(func(now time.Time) { r.core.Acted(now, a.Place, a.Msg.Verb, res) })
+		r.update(func(now time.Time) { r.core.Acted(now, a.Place, a.Msg.Verb, res) })
 	}
 }
 
-func resultName(res rack.Result) string {
+func resultLabel(res rack.Result) string {
 	switch {
 	case res.Lost:
 		return "lost"
@@ -114,26 +114,26 @@
 	return "ok"
 }
 
-func (r *rackHolding) tell(f func(time.Time)) {
+func (r *heldRack) update(f func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(time.Now())
 }
 
-// poll reads the workers' lagging reports.
-func (h *Holder) poll(ctx context.Context, r *rackHolding, addrs []string) {
+// pollWorkers reads the workers' lagging reports.
+func (h *Holder) pollWorkers(ctx context.Context, r *heldRack, addrs []string) {
 	for _, addr := range addrs {
 		r.mu.Lock()
-		busy := r.polled[addr]
-		r.polled[addr] = true
+		busy := r.polling[addr]
+		r.polling[addr] = true
 		r.mu.Unlock()
 		if busy {
 			continue
 		}
 		h.wg.Go(func() {
-			rep, err := h.workers.report(ctx, addr)
-			r.tell(func(time.Time) {
-				r.polled[addr] = false
+			rep, err := h.workerClient.readReport(ctx, addr)
+			r.update(func(time.Time) {
+				r.polling[addr] = false
 				if err == nil {
 					r.core.Reported(addr, rep)
 				}
@@ -145,70 +145,70 @@
 // SyncArgs carries the reports of all racks that a process holds to another, by bucket.
 // One call for all keeps the number of calls with the processes, not with the racks.
 type SyncArgs struct {
-	Reports map[string][]jobs.Report
+	Reports map[string][]jobs.RackReport
 }
 
 // SyncReply carries the answers, in the order of the reports.
 type SyncReply struct {
-	Answers map[string][]jobs.Answer
+	Answers map[string][]jobs.RackReply
 }
 
-// round lets the racks report to the holders of all buckets.
-func (h *Holder) round(ctx context.Context) {
-	if !h.o.Keeper.Sure() {
+// syncRacks lets the racks report to the holders of all buckets.
+func (h *Holder) syncRacks(ctx context.Context) {
+	if !h.opts.Keeper.Sure() {
 		return
 	}
 	byHolder := map[string][]string{}
-	for i := range h.o.Buckets {
+	for i := range h.opts.BucketCount {
 		name := BucketName(i)
-		if id := h.o.Keeper.Holder(BucketTable, name); id != "" {
+		if id := h.opts.Keeper.Holder(BucketTable, name); id != "" {
 			byHolder[id] = append(byHolder[id], name)
 		}
 	}
 	racks := h.heldRacks()
 	offered := make([]string, len(racks))
 	for i, r := range racks {
-		offered[i] = r.next(h.o.Buckets)
+		offered[i] = r.nextBucket(h.opts.BucketCount)
 	}
 	for id, names := range byHolder {
-		if len(racks) == 0 || !h.begun(id) {
+		if len(racks) == 0 || !h.beginSync(id) {
 			continue
 		}
 		h.wg.Go(func() {
-			defer h.finished(id)
-			h.sync(ctx, racks, id, names, offered)
+			defer h.endSync(id)
+			h.syncWith(ctx, racks, id, names, offered)
 		})
 	}
 }
 
-// begun notes a call to a process and reports whether none is under way.
-func (h *Holder) begun(id string) bool {
+// beginSync notes a call to a process and reports whether none is under way.
+func (h *Holder) beginSync(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.calls[id] {
+	if h.syncing[id] {
 		return false
 	}
-	h.calls[id] = true
+	h.syncing[id] = true
 	return true
 }
 
-func (h *Holder) finished(id string) {
+func (h *Holder) endSync(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.calls, id)
+	delete(h.syncing, id)
 }
 
-// next names the bucket that is offered what is free in this round: in turn those with
+// nextBucket names the bucket that is offered what is free in this round: in turn those with
 // urgent tasks, or else those with any. Offered to all at once, the same room would be
 // filled by each.
-func (r *rackHolding) next(buckets int) string {
+func (r *heldRack) nextBucket(buckets int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, wants := range []map[string]int{r.urgent, r.waiting} {
+	for _, wants := range []map[string]int{r.urgentTasks, r.waitingTasks} {
 		for i := range buckets {
-			turn := (r.turn + 1 + i) % buckets
+			turn := (r.lastOffered + 1 + i) % buckets
 			if name := BucketName(turn); wants[name] > 0 {
-				r.turn = turn
+				r.lastOffered = turn
 				return name
 			}
 		}
@@ -216,8 +216,8 @@
 	return ""
 }
 
-func (h *Holder) sync(ctx context.Context, racks []*rackHolding, id string, names, offered []string) {
-	in := SyncArgs{map[string][]jobs.Report{}}
+func (h *Holder) syncWith(ctx context.Context, racks []*heldRack, id string, names, offered []string) {
+	in := SyncArgs{map[string][]jobs.RackReport{}}
 	for i, r := range racks {
 		r.mu.Lock()
 		for _, name := range names {
@@ -225,48 +225,48 @@
 		}
 		r.mu.Unlock()
 	}
-	rep, ok := h.exchange(ctx, id, in)
+	rep, ok := h.exchangeReports(ctx, id, in)
 	if !ok {
 		return
 	}
 	for i, r := range racks {
-		r.tell(func(now time.Time) {
+		r.update(func(now time.Time) {
 			for name, answers := range rep.Answers {
 				if i < len(answers) {
 					r.core.Take(now, name, answers[i])
-					r.waiting[name], r.urgent[name] = answers[i].Waiting, answers[i].Urgent
+					r.waitingTasks[name], r.urgentTasks[name] = answers[i].Waiting, answers[i].Urgent
 				}
 			}
 		})
 	}
 }
 
-// exchange sends reports to a bucket holder. An answer that takes longer than the
+// exchangeReports sends reports to a bucket holder. An answer that takes longer than the
 // timeout isn't used: its giver may have lost the bucket since.
-func (h *Holder) exchange(ctx context.Context, id string, in SyncArgs) (SyncReply, bool) {
-	if id == h.o.Group.Self().ID {
-		return h.Sync(in), true
+func (h *Holder) exchangeReports(ctx context.Context, id string, in SyncArgs) (SyncReply, bool) {
+	if id == h.opts.Group.Self().ID {
+		return h.HandleReports(in), true
 	}
-	m, ok := h.o.Group.View().Get(id)
+	m, ok := h.opts.Group.View().Get(id)
 	if !ok {
 		return SyncReply{}, false
 	}
-	cctx, cancel := context.WithTimeout(ctx, h.o.Timeout)
+	cctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
 	defer cancel()
-	rep, err := link.Call[SyncArgs, SyncReply](cctx, h.o.Links.Get(m.Addr), "Peer.Sync", in)
+	rep, err := link.Call[SyncArgs, SyncReply](cctx, h.opts.Links.Get(m.Addr), "Peer.Sync", in)
 	return rep, err == nil
 }
 
-// Sync answers a rack's reports for the buckets that are held here.
-func (h *Holder) Sync(in SyncArgs) SyncReply {
-	out := SyncReply{map[string][]jobs.Answer{}}
+// HandleReports answers a rack's reports for the buckets that are held here.
+func (h *Holder) HandleReports(in SyncArgs) SyncReply {
+	out := SyncReply{map[string][]jobs.RackReply{}}
 	for name, reports := range in.Reports {
 		b := h.getBucket(name)
 		if b == nil {
 			continue
 		}
 		for _, rep := range reports {
-			out.Answers[name] = append(out.Answers[name], b.hear(rep))
+			out.Answers[name] = append(out.Answers[name], b.handleReport(rep))
 		}
 	}
 	return out
--- a/internal/batch/hold/worker.go
+++ b/internal/batch/hold/workerclient.go
@@ -14,30 +14,30 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// workers speaks with workers over HTTP.
-type workers struct {
+// workerClient speaks with workerClient over HTTP.
+type workerClient struct {
 	client *http.Client
 }
 
 const (
 	connsPerWorker = 4
-	maxReport      = 4 << 20
+	maxReportBytes = 4 << 20
 )
 
-func newWorkers(timeout time.Duration) *workers {
+func newWorkerClient(timeout time.Duration) *workerClient {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.MaxIdleConnsPerHost = connsPerWorker
 	t.MaxConnsPerHost = connsPerWorker
-	return &workers{&http.Client{Transport: t, Timeout: timeout}}
+	return &workerClient{&http.Client{Transport: t, Timeout: timeout}}
 }
 
-func (w *workers) close() { w.client.CloseIdleConnections() }
+func (w *workerClient) close() { w.client.CloseIdleConnections() }
 
-// errWorker says that a worker gave no usable answer.
-var errWorker = errors.New("hold: no answer from the worker")
+// errNoAnswer says that a worker gave no usable answer.
+var errNoAnswer = errors.New("hold: no answer from the worker")
 
-// command sends one command; without a usable answer its outcome is unknown.
-func command[In any](ctx context.Context, w *workers, addr, verb string, in In) rack.Result {
+// sendCommand sends one sendCommand; without a usable answer its outcome is unknown.
+func sendCommand[In any](ctx context.Context, w *workerClient, addr, verb string, in In) rack.Result {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return rack.Result{Lost: true}
@@ -51,7 +51,7 @@
 		return rack.Result{Lost: true}
 	}
 	defer resp.Body.Close()
-	d := json.NewDecoder(io.LimitReader(resp.Body, maxReport))
+	d := json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes))
 	switch resp.StatusCode {
 	case http.StatusOK:
 		var rep wire.Report
@@ -67,19 +67,19 @@
 	return rack.Result{Lost: true}
 }
 
-func (w *workers) report(ctx context.Context, addr string) (wire.Report, error) {
+func (w *workerClient) readReport(ctx context.Context, addr string) (wire.Report, error) {
 	var rep wire.Report
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/report", nil)
 	if err != nil {
-		return rep, errors.Wrap(errWorker, err.Error())
+		return rep, errors.Wrap(errNoAnswer, err.Error())
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return rep, errors.Wrap(errWorker, err.Error())
+		return rep, errors.Wrap(errNoAnswer, err.Error())
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return rep, errors.Wrap(errWorker, resp.Status)
+		return rep, errors.Wrap(errNoAnswer, resp.Status)
 	}
-	return rep, errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(&rep), "hold")
+	return rep, errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(&rep), "hold")
 }
--- a/internal/batch/jobs/bench_test.go
+++ b/internal/batch/jobs/bench_test.go
@@ -8,8 +8,8 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// benchBucket returns a held bucket with so many jobs of 10 tasks, half of them placed.
-func benchBucket(b *testing.B, n int) *Core {
+// newBenchBucket returns a held bucket with so many jobs of 10 tasks, half of them placed.
+func newBenchBucket(b *testing.B, n int) *Core {
 	now := time.Unix(1000, 0)
 	c := New(Bucket{}, 1)
 	for i := range n {
@@ -19,22 +19,22 @@
 			b.Fatal(err)
 		}
 	}
-	commit(b, c)
+	commitBench(b, c)
 	free := make([]wire.Size, 0, 5*n)
 	for range 5 * n {
 		free = append(free, wire.Size{CPU: 1000, Mem: 1000})
 	}
-	c.Hear(now, Report{Rack: "rack-1", Ep: 1, Usable: true, Offer: Offer{Free: free}}, func(string) bool { return true })
-	commit(b, c)
+	c.HandleReport(now, RackReport{Rack: "rack-1", Ep: 1, Usable: true, Offer: Offer{Free: free}}, func(string) bool { return true })
+	commitBench(b, c)
 	return c
 }
 
-func commit(b *testing.B, c *Core) int {
-	value, err := c.Begin("id")
+func commitBench(b *testing.B, c *Core) int {
+	value, err := c.BeginWrite("id")
 	if err != nil {
 		b.Fatal(err)
 	}
-	c.Ended(true)
+	c.EndWrite(true)
 	return len(value)
 }
 
@@ -42,10 +42,10 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := benchBucket(b, n)
+			c := newBenchBucket(b, n)
 			size := 0
 			for b.Loop() {
-				size = commit(b, c)
+				size = commitBench(b, c)
 			}
 			b.ReportMetric(float64(size)/float64(n), "B/job")
 		})
@@ -56,10 +56,10 @@
 func BenchmarkHear(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := benchBucket(b, n)
+			c := newBenchBucket(b, n)
 			now := time.Unix(1000, 0)
 			for b.Loop() {
-				c.Hear(now, Report{Rack: "rack-2", Ep: 1, Usable: true}, func(string) bool { return true })
+				c.HandleReport(now, RackReport{Rack: "rack-2", Ep: 1, Usable: true}, func(string) bool { return true })
 			}
 		})
 	}
--- a/internal/batch/jobs/jobs_test.go
+++ b/internal/batch/jobs/jobs_test.go
@@ -14,85 +14,85 @@
 	unit = wire.Size{CPU: 1000, Mem: 1000}
 )
 
-func all(string) bool { return true }
+func allowAll(string) bool { return true }
 
-func write(t *testing.T, c *Core) {
+func commitRecord(t *testing.T, c *Core) {
 	t.Helper()
-	if _, err := c.Begin("id"); err != nil {
+	if _, err := c.BeginWrite("id"); err != nil {
 		t.Fatal(err)
 	}
-	c.Ended(true)
+	c.EndWrite(true)
 }
 
-// offer is a report of a rack with room for n tasks.
-func offer(rack string, n int) Report {
-	r := Report{Rack: rack, Ep: 1, Usable: true, Offer: Offer{Max: unit}, Back: map[Place]time.Duration{}}
+// newReport is a report of a rack with room for n tasks.
+func newReport(rack string, n int) RackReport {
+	r := RackReport{Rack: rack, Ep: 1, Usable: true, Offer: Offer{Max: unit}, Back: map[Placement]time.Duration{}}
 	for range n {
 		r.Offer.Free = append(r.Offer.Free, unit)
 	}
 	return r
 }
 
-// held returns a written bucket with a job of n tasks placed on rack a.
-func held(t *testing.T, n int) (*Core, []Task) {
+// newPlacedJob returns a written bucket with a job of n tasks placed on rack a.
+func newPlacedJob(t *testing.T, n int) (*Core, []Task) {
 	t.Helper()
 	c := New(Bucket{}, 1)
-	write(t, c)
+	commitRecord(t, c)
 	if err := c.Submit(now, Spec{ID: "job", Kind: "audit", N: n, Size: unit, Run: time.Second}); err != nil {
 		t.Fatal(err)
 	}
-	write(t, c)
-	if a := c.Hear(now, offer("a", n), all); len(a.Run) > 0 {
+	commitRecord(t, c)
+	if a := c.HandleReport(now, newReport("a", n), allowAll); len(a.Run) > 0 {
 		t.Fatalf("named before the store holds it: %v", a.Run)
 	}
-	write(t, c)
-	return c, c.Hear(now, offer("a", 0), all).Run
+	commitRecord(t, c)
+	return c, c.HandleReport(now, newReport("a", 0), allowAll).Run
 }
 
 // A bucket's holder dies with a write on its way. The next one reads the record before
 // that write takes effect; what it would tell a rack then is out of date, and a task
 // that the write moves would run in both places.
-func TestSilentUntilWritten(t *testing.T) {
-	c, _ := held(t, 1)
-	next := New(c.kept, 2)
-	if a := next.Hear(now, offer("a", 1), all); a.OK {
+func TestNoReplyBeforeFirstWrite(t *testing.T) {
+	c, _ := newPlacedJob(t, 1)
+	next := New(c.committed, 2)
+	if a := next.HandleReport(now, newReport("a", 1), allowAll); a.OK {
 		t.Errorf("it answers before its own write: %+v", a)
 	}
-	write(t, next)
-	if a := next.Hear(now, offer("a", 0), all); !a.OK || len(a.Run) != 1 {
+	commitRecord(t, next)
+	if a := next.HandleReport(now, newReport("a", 0), allowAll); !a.OK || len(a.Run) != 1 {
 		t.Errorf("after its own write: %+v", a)
 	}
 }
 
 // A former holder of a rack reports late that it doesn't run a task which the present
 // one has started. Believed, the task would be placed elsewhere and run twice.
-func TestFormerRackHolder(t *testing.T) {
-	c, run := held(t, 1)
-	present := offer("a", 0)
+func TestStaleRackHolderIgnored(t *testing.T) {
+	c, run := newPlacedJob(t, 1)
+	present := newReport("a", 0)
 	present.Ep = 2
-	c.Hear(now, present, all)
-	late := offer("a", 0)
+	c.HandleReport(now, present, allowAll)
+	late := newReport("a", 0)
 	late.Back[run[0].Place] = 0
-	a := c.Hear(now, late, all)
-	if n, _ := c.Waiting(); a.OK || n > 0 {
+	a := c.HandleReport(now, late, allowAll)
+	if n, _ := c.CountWaiting(); a.OK || n > 0 {
 		t.Errorf("a former holder's report is taken in: %+v", a)
 	}
 }
 
 // A task is given up for lost and placed again; then the first placement turns out to
 // have finished. Two photo books would go out if it counted.
-func TestFormerPlacement(t *testing.T) {
-	c, run := held(t, 1)
-	lost := offer("a", 0)
+func TestSupersededPlacementIgnored(t *testing.T) {
+	c, run := newPlacedJob(t, 1)
+	lost := newReport("a", 0)
 	lost.Back[run[0].Place] = 0
-	c.Hear(now, lost, all)
-	write(t, c)
-	c.Hear(now, offer("b", 1), all)
-	write(t, c)
-	ghost := offer("a", 0)
-	ghost.Finished = []Place{run[0].Place}
-	a := c.Hear(now, ghost, all)
-	if j, _ := c.Kept("job"); len(a.Counts) > 0 || j.Done.Count() > 0 || len(a.Recorded) != 1 {
+	c.HandleReport(now, lost, allowAll)
+	commitRecord(t, c)
+	c.HandleReport(now, newReport("b", 1), allowAll)
+	commitRecord(t, c)
+	ghost := newReport("a", 0)
+	ghost.Finished = []Placement{run[0].Place}
+	a := c.HandleReport(now, ghost, allowAll)
+	if j, _ := c.CommittedJob("job"); len(a.Counts) > 0 || j.Done.Count() > 0 || len(a.Recorded) != 1 {
 		t.Errorf("a former placement counts: %+v", a)
 	}
 }
@@ -100,11 +100,11 @@
 // A cancellation races the last task's end. The first one decides, and stays.
 func TestCancelRacesFinish(t *testing.T) {
 	for _, cancelFirst := range []bool{true, false} {
-		c, run := held(t, 1)
-		end := offer("a", 0)
-		end.Finished = []Place{run[0].Place}
+		c, run := newPlacedJob(t, 1)
+		end := newReport("a", 0)
+		end.Finished = []Placement{run[0].Place}
 		cancel := func() { _ = c.Cancel(now, "job") }
-		finish := func() { c.Hear(now, end, all) }
+		finish := func() { c.HandleReport(now, end, allowAll) }
 		want := StateDone
 		if cancelFirst {
 			want = StateCancelled
@@ -114,8 +114,8 @@
 			finish()
 			cancel()
 		}
-		write(t, c)
-		if j, _ := c.Kept("job"); j.State != want {
+		commitRecord(t, c)
+		if j, _ := c.CommittedJob("job"); j.State != want {
 			t.Errorf("cancelled first %t: %s", cancelFirst, j.State)
 		}
 	}
@@ -123,9 +123,9 @@
 
 // A job is too large for every worker that it may use. It must be parked with the
 // reason, not before every rack has spoken, and block nobody.
-func TestNeverRunnable(t *testing.T) {
+func TestInfeasibleJobParked(t *testing.T) {
 	c := New(Bucket{}, 1)
-	write(t, c)
+	commitRecord(t, c)
 	big := Spec{ID: "big", Kind: "audit", N: 1, Size: wire.Size{CPU: 99000, Mem: 1}, Run: time.Second, Rank: RankUrgent}
 	small := Spec{ID: "small", Kind: "audit", N: 1, Size: unit, Run: time.Second}
 	for _, s := range []Spec{big, small} {
@@ -134,19 +134,19 @@
 		}
 	}
 	anywhere := func(string, string) bool { return true }
-	c.Hear(now, offer("a", 1), all)
-	c.Review(now, []string{"a", "b"}, anywhere)
-	write(t, c)
-	if j, _ := c.Kept("big"); j.State != StateOpen {
+	c.HandleReport(now, newReport("a", 1), allowAll)
+	c.ParkAndExpire(now, []string{"a", "b"}, anywhere)
+	commitRecord(t, c)
+	if j, _ := c.CommittedJob("big"); j.State != StateOpen {
 		t.Errorf("parked while a rack is silent: %s", j.State)
 	}
-	if run := c.Hear(now, offer("a", 0), all).Run; len(run) != 1 || run[0].Place.Job != "small" {
+	if run := c.HandleReport(now, newReport("a", 0), allowAll).Run; len(run) != 1 || run[0].Place.Job != "small" {
 		t.Errorf("it blocks another: %v", run)
 	}
-	c.Hear(now, offer("b", 0), all)
-	c.Review(now, []string{"a", "b"}, anywhere)
-	write(t, c)
-	if j, _ := c.Kept("big"); j.State != StateParked || j.Why == "" {
+	c.HandleReport(now, newReport("b", 0), allowAll)
+	c.ParkAndExpire(now, []string{"a", "b"}, anywhere)
+	commitRecord(t, c)
+	if j, _ := c.CommittedJob("big"); j.State != StateParked || j.Why == "" {
 		t.Errorf("never parked: %s %q", j.State, j.Why)
 	}
 }
@@ -161,22 +161,22 @@
 		}
 	}
 	s.N = 2
-	if err := c.Submit(now, s); !errors.Is(err, ErrExists) {
+	if err := c.Submit(now, s); !errors.Is(err, ErrIDTaken) {
 		t.Errorf("another job with the id: %v", err)
 	}
 	for _, bad := range []Spec{{}, {ID: "a/b", Kind: "k", N: 1, Size: unit, Run: 1}, {ID: "x", Kind: "k", N: MaxTasks + 1, Size: unit, Run: 1}, {ID: "x", Kind: "k", N: 1, Size: unit, Run: 1, Rank: "top"}} {
-		if err := c.Submit(now, bad); !errors.Is(err, ErrSpec) {
+		if err := c.Submit(now, bad); !errors.Is(err, ErrInvalidSpec) {
 			t.Errorf("%+v: %v", bad, err)
 		}
 	}
 }
 
-func FuzzParsePlace(f *testing.F) {
+func FuzzParsePlacement(f *testing.F) {
 	f.Add("audit-7/3@12")
 	f.Add("/@")
 	f.Fuzz(func(t *testing.T, s string) {
-		if p, ok := ParsePlace(s); ok {
-			if again, ok := ParsePlace(p.String()); !ok || again != p {
+		if p, ok := ParsePlacement(s); ok {
+			if again, ok := ParsePlacement(p.String()); !ok || again != p {
 				t.Errorf("%q is read as %+v and that as %+v", s, p, again)
 			}
 		}
@@ -185,23 +185,23 @@
 
 // Room is scarce while many tasks wait. The condition watch must be placed first, then
 // what is urgent, whatever came before.
-func TestStandingFirst(t *testing.T) {
+func TestPlacementPrecedence(t *testing.T) {
 	c := New(Bucket{}, 1)
-	write(t, c)
+	commitRecord(t, c)
 	for i, s := range []Spec{{ID: "low", Rank: RankLow}, {ID: "normal"}, {ID: "urgent", Rank: RankUrgent}, {ID: "watch", Standing: true}} {
 		s.Kind, s.N, s.Size, s.Run = "audit", 1, unit, time.Second
 		if err := c.Submit(now.Add(time.Duration(i)*time.Second), s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(t, c)
-	c.Hear(now, offer("a", 2), all)
-	write(t, c)
-	run := c.Hear(now, offer("a", 0), all).Run
+	commitRecord(t, c)
+	c.HandleReport(now, newReport("a", 2), allowAll)
+	commitRecord(t, c)
+	run := c.HandleReport(now, newReport("a", 0), allowAll).Run
 	if len(run) != 2 || run[0].Place.Job != "watch" || run[1].Place.Job != "urgent" {
 		t.Errorf("placed first: %v", run)
 	}
-	if n, urgent := c.Waiting(); n != 2 || urgent != 0 {
+	if n, urgent := c.CountWaiting(); n != 2 || urgent != 0 {
 		t.Errorf("%d wait, %d of them urgent", n, urgent)
 	}
 }
--- a/internal/batch/jobs/place.go
+++ b/internal/batch/jobs/place.go
@@ -8,56 +8,56 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// urgentOrder is the order of urgent jobs; standing ones go before.
-const urgentOrder = 1
+// urgentPrecedence is the order of urgent jobs; standing ones go before.
+const urgentPrecedence = 1
 
-// Order ranks jobs: standing first, then by rank.
-func (s Spec) Order() int {
+// Precedence ranks jobs: standing first, then by rank.
+func (s Spec) Precedence() int {
 	switch {
 	case s.Standing:
 		return 0
 	case s.Rank == RankUrgent:
-		return urgentOrder
+		return urgentPrecedence
 	case s.Rank == RankLow:
 		return 3
 	}
 	return 2
 }
 
-// place assigns waiting tasks to what the rack offers, in order of rank, then age.
-func (c *Core) place(r Report, allowed func(string) bool) {
-	waiting := c.waiting()
+// placeTasks assigns waiting tasks to what the rack offers, in order of rank, then age.
+func (c *Core) placeTasks(r RackReport, allowed func(string) bool) {
+	waiting := c.waitingJobs()
 	if len(r.Offer.Free) == 0 || len(waiting) == 0 {
 		return
 	}
-	free := c.left(r)
+	free := c.remainingOffer(r)
 	for _, j := range waiting {
 		if !allowed(j.Spec.Kind) {
 			continue
 		}
-		for _, i := range j.open(c.fit(free, j.Spec)) {
-			take(free, j.Spec.Size)
-			c.work.No++
-			j.Place[i] = At{r.Rack, c.work.No}
+		for _, i := range j.unplaced(c.countFitting(free, j.Spec)) {
+			allocateFirstFit(free, j.Spec.Size)
+			c.working.LastPlacement++
+			j.Place[i] = Assignment{r.Rack, c.working.LastPlacement}
 			j.Next = max(j.Next, i+1)
 			c.dirty = true
 		}
 	}
 }
 
-// left returns what the rack offers less what it was given and hasn't heard of.
+// remainingOffer returns what the rack offers less what it was given and hasn't heard of.
 //
 // It guards against room that is used twice: a rack offers again before the store holds
 // what its last offer was used for, and the tasks above its room would wait there while
 // other racks are free.
-func (c *Core) left(r Report) []wire.Size {
+func (c *Core) remainingOffer(r RackReport) []wire.Size {
 	free := slices.Clone(r.Offer.Free)
 	type given struct {
 		no   uint64
 		size wire.Size
 	}
 	var list []given
-	for _, j := range c.work.Jobs {
+	for _, j := range c.working.Jobs {
 		if j.State != StateOpen {
 			continue
 		}
@@ -69,39 +69,39 @@
 	}
 	slices.SortFunc(list, func(a, b given) int { return cmp.Compare(a.no, b.no) })
 	for _, g := range list {
-		take(free, g.size)
+		allocateFirstFit(free, g.size)
 	}
 	return free
 }
 
-// waiting returns the jobs with tasks to place, in the order in which they go.
-func (c *Core) waiting() []*Job {
+// waitingJobs returns the jobs with tasks to place, in the order in which they go.
+func (c *Core) waitingJobs() []*Job {
 	var list []*Job
-	for _, j := range c.work.Jobs {
+	for _, j := range c.working.Jobs {
 		if j.State == StateOpen && len(j.Place)+int(j.Done.Count()) < j.Spec.N {
 			list = append(list, j)
 		}
 	}
 	slices.SortFunc(list, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(a.Spec.Order(), b.Spec.Order()), a.Since.Compare(b.Since), cmp.Compare(a.Spec.ID, b.Spec.ID))
+		return cmp.Or(cmp.Compare(a.Spec.Precedence(), b.Spec.Precedence()), a.Since.Compare(b.Since), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	return list
 }
 
-// Waiting returns how many tasks have no rack yet, and how many of them are standing or urgent.
-func (c *Core) Waiting() (tasks, urgent int) {
-	for _, j := range c.waiting() {
+// CountWaiting returns how many tasks have no rack yet, and how many of them are standing or urgent.
+func (c *Core) CountWaiting() (tasks, urgent int) {
+	for _, j := range c.waitingJobs() {
 		n := j.Spec.N - len(j.Place) - int(j.Done.Count())
 		tasks += n
-		if j.Spec.Order() <= urgentOrder {
+		if j.Spec.Precedence() <= urgentPrecedence {
 			urgent += n
 		}
 	}
 	return tasks, urgent
 }
 
-// fit returns how many tasks of the job fit into what is free.
-func (c *Core) fit(free []wire.Size, s Spec) int {
+// countFitting returns how many tasks of the job countFitting into what is free.
+func (c *Core) countFitting(free []wire.Size, s Spec) int {
 	n := 0
 	for _, f := range free {
 		for f.Covers(s.Size) && n < s.N {
@@ -112,7 +112,7 @@
 	return n
 }
 
-func take(free []wire.Size, s wire.Size) {
+func allocateFirstFit(free []wire.Size, s wire.Size) {
 	for i := range free {
 		if free[i].Covers(s) {
 			free[i] = free[i].Minus(s)
@@ -121,29 +121,29 @@
 	}
 }
 
-// rackFresh is how recent a rack's word must be to count when a job is parked.
-const rackFresh = 5 * time.Second
+// maxReportAge is how recent a rack's word must be to count when a job is parked.
+const maxReportAge = 5 * time.Second
 
-// Review parks the jobs that no rack could ever run, and drops finished jobs after
+// ParkAndExpire parks the jobs that no rack could ever run, and drops finished jobs after
 // their time. zones maps each rack that exists to whether a kind may use it; nothing
 // is parked while one of them is silent.
-func (c *Core) Review(now time.Time, racks []string, allowed func(kind, rack string) bool) {
+func (c *Core) ParkAndExpire(now time.Time, racks []string, allowed func(kind, rack string) bool) {
 	silent := slices.ContainsFunc(racks, func(r string) bool {
-		return now.Sub(c.racks[r].at) > rackFresh
+		return now.Sub(c.racks[r].reportedAt) > maxReportAge
 	})
-	for id, j := range c.work.Jobs {
+	for id, j := range c.working.Jobs {
 		switch {
-		case j.State != StateOpen && now.Sub(j.Since) > keepFinal && len(j.Place) == 0:
-			delete(c.work.Jobs, id)
+		case j.State != StateOpen && now.Sub(j.Since) > endedRetention && len(j.Place) == 0:
+			delete(c.working.Jobs, id)
 			c.dirty = true
-		case j.State == StateOpen && !silent && len(racks) > 0 && len(j.Place) == 0 && !c.possible(j, racks, allowed):
-			c.end(now, j, StateParked, "no worker in its failure domains is large enough")
+		case j.State == StateOpen && !silent && len(racks) > 0 && len(j.Place) == 0 && !c.feasible(j, racks, allowed):
+			c.endJob(now, j, StateParked, "no worker in its failure domains is large enough")
 		}
 	}
 }
 
-func (c *Core) possible(j *Job, racks []string, allowed func(kind, rack string) bool) bool {
+func (c *Core) feasible(j *Job, racks []string, allowed func(kind, rack string) bool) bool {
 	return slices.ContainsFunc(racks, func(r string) bool {
-		return allowed(j.Spec.Kind, r) && c.racks[r].max.Covers(j.Spec.Size)
+		return allowed(j.Spec.Kind, r) && c.racks[r].largestWorker.Covers(j.Spec.Size)
 	})
 }
--- a/internal/batch/jobs/record.go
+++ b/internal/batch/jobs/record.go
@@ -49,11 +49,11 @@
 // MaxTasks is the largest number of tasks of one job.
 const MaxTasks = 10000
 
-// ErrSpec says that a job can't be accepted as it is; its text says why.
-var ErrSpec = errors.New("jobs: invalid job")
+// ErrInvalidSpec says that a job can't be accepted as it is; its text says why.
+var ErrInvalidSpec = errors.New("jobs: invalid job")
 
-// Check returns ErrSpec with every fault of the job.
-func (s Spec) Check() error {
+// Validate returns ErrSpec with every fault of the job.
+func (s Spec) Validate() error {
 	var f []string
 	if s.ID == "" || len(s.ID) > 128 || strings.ContainsAny(s.ID, "/@ \t\n") {
 		f = append(f, "id: needs 1 to 128 characters, none of them a space, / or @")
@@ -76,34 +76,34 @@
 		f = append(f, fmt.Sprintf("rank: %q is none of urgent, normal, low", s.Rank))
 	}
 	if len(f) > 0 {
-		return errors.Wrap(ErrSpec, strings.Join(f, "; "))
+		return errors.Wrap(ErrInvalidSpec, strings.Join(f, "; "))
 	}
 	return nil
 }
 
-// Place is one placement of a task on a rack. A task that goes back and is placed again
+// Placement is one placement of a task on a rack. A task that goes back and is placed again
 // gets another number, so that what is said of a former placement is never taken for the
 // present one. A placement is run at most once.
-type Place struct {
+type Placement struct {
 	Job   string
 	Index int
 	No    uint64
 }
 
 // String returns the placement as job/index@no, which is also its id on the worker.
-func (p Place) String() string { return fmt.Sprintf("%s/%d@%d", p.Job, p.Index, p.No) }
+func (p Placement) String() string { return fmt.Sprintf("%s/%d@%d", p.Job, p.Index, p.No) }
 
-// ParsePlace reads what String returned.
-func ParsePlace(s string) (Place, bool) {
+// ParsePlacement reads what String returned.
+func ParsePlacement(s string) (Placement, bool) {
 	job, rest, ok := strings.Cut(s, "/")
 	index, no, ok2 := strings.Cut(rest, "@")
 	i, err := strconv.Atoi(index)
 	n, err2 := strconv.ParseUint(no, 10, 64)
-	return Place{job, i, n}, ok && ok2 && err == nil && err2 == nil && i >= 0
+	return Placement{job, i, n}, ok && ok2 && err == nil && err2 == nil && i >= 0
 }
 
-// At says which rack has a task, under which number.
-type At struct {
+// Assignment says which rack has a task, under which number.
+type Assignment struct {
 	Rack string `json:"rack"`
 	No   uint64 `json:"no"`
 }
@@ -115,7 +115,7 @@
 	Why   string                `json:"why,omitempty"`
 	Since time.Time             `json:"since"` // of the state
 	Done  *bitset.BitSet        `json:"done"`
-	Place map[int]At            `json:"place,omitempty"`
+	Place map[int]Assignment    `json:"place,omitempty"`
 	Won   map[int]uint64        `json:"won,omitempty"`  // the placement that finished each task, until its worker knows
 	Kept  map[int]time.Duration `json:"kept,omitempty"` // work kept by checkpoints
 	Fails map[int]int           `json:"fails,omitempty"`
@@ -124,22 +124,22 @@
 
 // Bucket is the record as it stands in the store.
 type Bucket struct {
-	ID   string          `json:"id"` // of the write, so that a lost answer can be settled
-	Ep   uint64          `json:"ep"` // of the holder that wrote it
-	No   uint64          `json:"no"` // the highest number of a placement
-	Jobs map[string]*Job `json:"jobs"`
+	WriteID       string          `json:"id"` // of the write, so that a lost answer can be settled
+	HolderEpoch   uint64          `json:"ep"` // of the holder that wrote it
+	LastPlacement uint64          `json:"no"` // the highest number of a placement
+	Jobs          map[string]*Job `json:"jobs"`
 }
 
-// left returns how many tasks aren't finished.
-func (j *Job) left() int { return j.Spec.N - int(j.Done.Count()) }
+// unfinished returns how many tasks aren't finished.
+func (j *Job) unfinished() int { return j.Spec.N - int(j.Done.Count()) }
 
-// open returns the unfinished tasks that no rack has, lowest first, at most n.
-func (j *Job) open(n int) []int {
+// unplaced returns the unfinished tasks that no rack has, lowest first, at most n.
+func (j *Job) unplaced(n int) []int {
 	var list []int
 	if j.State != StateOpen {
 		return nil
 	}
-	for _, i := range j.returned() {
+	for _, i := range j.returnedTasks() {
 		if len(list) < n {
 			list = append(list, i)
 		}
@@ -150,8 +150,8 @@
 	return list
 }
 
-// returned lists the tasks below Next that no rack has and that aren't finished.
-func (j *Job) returned() []int {
+// returnedTasks lists the tasks below Next that no rack has and that aren't finished.
+func (j *Job) returnedTasks() []int {
 	var list []int
 	if len(j.Place)+int(j.Done.Count()) == j.Next {
 		return nil
--- a/internal/batch/rack/bench_test.go
+++ b/internal/batch/rack/bench_test.go
@@ -28,7 +28,7 @@
 func benchTasks(n int) []jobs.Task {
 	var list []jobs.Task
 	for i := range n {
-		list = append(list, jobs.Task{Place: jobs.Place{Job: "job", Index: i, No: uint64(i + 1)},
+		list = append(list, jobs.Task{Place: jobs.Placement{Job: "job", Index: i, No: uint64(i + 1)},
 			Spec: jobs.Spec{ID: "job", N: n, Size: wire.Size{CPU: 3000, Mem: 4000}, Run: time.Minute}})
 	}
 	return list
@@ -45,11 +45,11 @@
 			var before, after runtime.MemStats
 			for range b.N {
 				c := benchRack(now, workers)
-				c.Take(now, "b", jobs.Answer{OK: true})
+				c.Take(now, "b", jobs.RackReply{OK: true})
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				began := time.Now()
-				c.Take(now, "b", jobs.Answer{OK: true, Run: tasks})
+				c.Take(now, "b", jobs.RackReply{OK: true, Run: tasks})
 				got := c.Tick(now, Config{Usable: true, Confirmed: now})
 				spent += time.Since(began)
 				if len(got) < len(tasks) {
@@ -72,8 +72,8 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
 			c := benchRack(now, workers)
-			c.Take(now, "b", jobs.Answer{OK: true})
-			c.Take(now, "b", jobs.Answer{OK: true, Run: benchTasks(20 * workers)})
+			c.Take(now, "b", jobs.RackReply{OK: true})
+			c.Take(now, "b", jobs.RackReply{OK: true, Run: benchTasks(20 * workers)})
 			for _, a := range c.Tick(now, Config{Usable: true, Confirmed: now}) {
 				if s, ok := a.(Start); ok {
 					c.Started(now, s.Place, Result{Report: wire.Report{Size: wire.Size{CPU: 60000, Mem: 250000}}})
--- a/internal/batch/rack/core.go
+++ b/internal/batch/rack/core.go
@@ -40,7 +40,7 @@
 
 // run is a placement that was started here.
 type run struct {
-	place  jobs.Place
+	place  jobs.Placement
 	worker string
 	size   wire.Size
 	task   wire.Task
@@ -69,12 +69,12 @@
 	began    time.Time
 	now      time.Time
 	workers  map[string]*worker
-	wants    map[string]map[jobs.Place]want // by bucket
-	heard    map[string]uint64              // the highest number of a placement wanted so far, by bucket
-	suspect  map[jobs.Place]bool            // a former holder may have started it
-	runs     map[jobs.Place]*run
-	backs    map[jobs.Place]time.Duration // given back, until recorded
-	released map[jobs.Place]bool          // finished and known to count at the worker, until recorded
+	wants    map[string]map[jobs.Placement]want // by bucket
+	heard    map[string]uint64                  // the highest number of a placement wanted so far, by bucket
+	suspect  map[jobs.Placement]bool            // a former holder may have started it
+	runs     map[jobs.Placement]*run
+	backs    map[jobs.Placement]time.Duration // given back, until recorded
+	released map[jobs.Placement]bool          // finished and known to count at the worker, until recorded
 	conf     Config
 	out      []Action
 }
@@ -84,9 +84,9 @@
 
 // New returns the core of a holding that begins now.
 func New(now time.Time, o Options) *Core {
-	return &Core{o: o, began: now, now: now, workers: map[string]*worker{}, wants: map[string]map[jobs.Place]want{}, heard: map[string]uint64{},
-		suspect: map[jobs.Place]bool{}, runs: map[jobs.Place]*run{}, backs: map[jobs.Place]time.Duration{},
-		released: map[jobs.Place]bool{}}
+	return &Core{o: o, began: now, now: now, workers: map[string]*worker{}, wants: map[string]map[jobs.Placement]want{}, heard: map[string]uint64{},
+		suspect: map[jobs.Placement]bool{}, runs: map[jobs.Placement]*run{}, backs: map[jobs.Placement]time.Duration{},
+		released: map[jobs.Placement]bool{}}
 }
 
 // Zone returns the rack's failure domain.
@@ -166,7 +166,7 @@
 	}
 	w.busy, w.tried = true, now
 	if !w.fenced {
-		c.out = append(c.out, Fence{w.addr, wire.Fence{Epoch: c.o.Ep}})
+		c.out = append(c.out, Fence{w.addr, wire.FenceRequest{Epoch: c.o.Ep}})
 		return
 	}
 	c.renew(now, w)
@@ -176,7 +176,7 @@
 // process's clock, a lease has passed since now.
 func (c *Core) renew(now time.Time, w *worker) {
 	w.over = now.Add(c.o.Lease + margin)
-	c.out = append(c.out, Renew{w.addr, wire.Renew{Epoch: c.o.Ep, Until: w.at(now.Add(c.o.Lease))}})
+	c.out = append(c.out, Renew{w.addr, wire.RenewRequest{Epoch: c.o.Ep, Until: w.at(now.Add(c.o.Lease))}})
 }
 
 // lapse gives up a worker that couldn't be renewed: its tasks have stopped and go back
@@ -186,7 +186,7 @@
 	w.fenced = false
 	for _, r := range c.sorted() {
 		if r.worker == w.addr && (r.holds() || r.state == stateStopped) && now.After(r.bound.Add(margin)) {
-			c.giveBack(r.place, r.task.From)
+			c.giveBack(r.place, r.task.ResumeFrom)
 			delete(c.runs, r.place)
 		}
 	}
@@ -198,9 +198,9 @@
 	return list
 }
 
-func (c *Core) bucket(p jobs.Place) string { return c.o.Bucket(p.Job) }
+func (c *Core) bucket(p jobs.Placement) string { return c.o.Bucket(p.Job) }
 
-func (c *Core) giveBack(p jobs.Place, kept time.Duration) {
+func (c *Core) giveBack(p jobs.Placement, kept time.Duration) {
 	c.backs[p] = max(kept, c.backs[p])
 	delete(c.wants[c.bucket(p)], p)
 }
@@ -219,7 +219,7 @@
 			c.evict(r)
 		case stateFinished:
 			if r.counts {
-				c.act(r, wire.VerbAccept)
+				c.act(r, wire.VerbAcceptResult)
 			} else if r.forget {
 				c.act(r, wire.VerbForget)
 			}
@@ -250,7 +250,7 @@
 	w := c.workers[r.worker]
 	if r.unsure && w != nil && w.heard.After(r.bound.Add(margin)) {
 		delete(c.runs, r.place)
-		c.giveBack(r.place, r.task.From)
+		c.giveBack(r.place, r.task.ResumeFrom)
 	}
 }
 
@@ -266,7 +266,7 @@
 }
 
 // wanted reports whether the placement's bucket wants it here, as far as it has spoken yet.
-func (c *Core) wanted(p jobs.Place) bool {
+func (c *Core) wanted(p jobs.Placement) bool {
 	m, spoken := c.wants[c.bucket(p)]
 	if !spoken {
 		return true
@@ -284,12 +284,12 @@
 	if w := c.workers[r.worker]; w == nil || !w.fenced {
 		return
 	}
-	forgets := verb == wire.VerbForget || verb == wire.VerbAccept
+	forgets := verb == wire.VerbForget || verb == wire.VerbAcceptResult
 	if forgets && r.unsure && !c.now.After(r.bound.Add(margin)) {
 		return
 	}
 	r.asked = true
-	c.out = append(c.out, Act{r.worker, r.place, wire.Act{Epoch: c.o.Ep, ID: r.place.String(), Verb: verb}})
+	c.out = append(c.out, Act{r.worker, r.place, wire.TaskCommandRequest{Epoch: c.o.Ep, TaskID: r.place.String(), Verb: verb}})
 }
 
 // giveUp is how long a task waits for room before it goes back.
@@ -333,7 +333,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b want) int {
-		return cmp.Or(cmp.Compare(a.task.Spec.Order(), b.task.Spec.Order()), a.since.Compare(b.since),
+		return cmp.Or(cmp.Compare(a.task.Spec.Precedence(), b.task.Spec.Precedence()), a.since.Compare(b.since),
 			cmp.Compare(a.task.Place.Job, b.task.Place.Job), cmp.Compare(a.task.Place.Index, b.task.Place.Index))
 	})
 	return list
@@ -341,7 +341,7 @@
 
 func (c *Core) newRun(w *worker, t jobs.Task) *run {
 	r := &run{place: t.Place, worker: w.addr, size: t.Spec.Size, state: stateStarting,
-		task: wire.Task{ID: t.Place.String(), Size: t.Spec.Size, Run: t.Spec.Run, From: t.From, Standing: t.Spec.Standing}}
+		task: wire.Task{ID: t.Place.String(), Size: t.Spec.Size, Duration: t.Spec.Run, ResumeFrom: t.From, LongRunning: t.Spec.Standing}}
 	c.runs[t.Place] = r
 	return r
 }
@@ -352,7 +352,7 @@
 		return
 	}
 	r.asked, r.bound = true, end
-	c.out = append(c.out, Start{r.worker, r.place, wire.Start{Epoch: c.o.Ep, NotAfter: w.at(end), Task: r.task}})
+	c.out = append(c.out, Start{r.worker, r.place, wire.StartRequest{Epoch: c.o.Ep, NotAfter: w.at(end), Task: r.task}})
 }
 
 // account is what the ledger says of one worker.
--- a/internal/batch/rack/event.go
+++ b/internal/batch/rack/event.go
@@ -13,27 +13,27 @@
 // Fence asks to fence the worker; its result goes to Fenced.
 type Fence struct {
 	Addr string
-	Msg  wire.Fence
+	Msg  wire.FenceRequest
 }
 
 // Renew asks to renew the worker's lease; its result goes to Renewed.
 type Renew struct {
 	Addr string
-	Msg  wire.Renew
+	Msg  wire.RenewRequest
 }
 
 // Start asks to start a task; its result goes to Started.
 type Start struct {
 	Addr  string
-	Place jobs.Place
-	Msg   wire.Start
+	Place jobs.Placement
+	Msg   wire.StartRequest
 }
 
 // Act asks to do something with a task; its result goes to Acted.
 type Act struct {
 	Addr  string
-	Place jobs.Place
-	Msg   wire.Act
+	Place jobs.Placement
+	Msg   wire.TaskCommandRequest
 }
 
 func (Fence) action() {}
@@ -74,7 +74,7 @@
 // adopt takes over a task that a former holder, or this one before the worker lapsed,
 // started. When it was given back meanwhile, nothing of it counts any more.
 func (c *Core) adopt(w *worker, t wire.TaskReport) {
-	p, ok := jobs.ParsePlace(t.ID)
+	p, ok := jobs.ParsePlacement(t.ID)
 	if !ok {
 		return
 	}
@@ -111,7 +111,7 @@
 
 func (c *Core) inventory(w *worker, rep wire.Report) {
 	for _, t := range rep.Tasks {
-		p, ok := jobs.ParsePlace(t.ID)
+		p, ok := jobs.ParsePlacement(t.ID)
 		if r := c.runs[p]; ok && r != nil && r.worker == w.addr {
 			c.see(w, r, t)
 		}
@@ -146,7 +146,7 @@
 // It guards against a start whose answer was lost: it may have arrived, or arrive yet.
 // Until its time has passed the task keeps its place in the ledger and is started
 // nowhere else.
-func (c *Core) Started(now time.Time, p jobs.Place, res Result) {
+func (c *Core) Started(now time.Time, p jobs.Placement, res Result) {
 	r := c.runs[p]
 	if r == nil {
 		return
@@ -168,12 +168,12 @@
 		delete(c.runs, p) // it certainly isn't there; another worker may take it
 	case r.state == stateStarting && now.After(r.bound.Add(margin)):
 		delete(c.runs, p)
-		c.giveBack(p, r.task.From)
+		c.giveBack(p, r.task.ResumeFrom)
 	}
 }
 
 // Acted takes in the result of an act.
-func (c *Core) Acted(now time.Time, p jobs.Place, verb wire.Verb, res Result) {
+func (c *Core) Acted(now time.Time, p jobs.Placement, verb wire.Verb, res Result) {
 	r := c.runs[p]
 	if r == nil {
 		return
@@ -187,7 +187,7 @@
 		c.inventory(w, res.Report)
 	}
 	switch verb {
-	case wire.VerbAccept:
+	case wire.VerbAcceptResult:
 		c.released[p] = true
 		delete(c.runs, p)
 	case wire.VerbForget:
@@ -196,7 +196,7 @@
 }
 
 // Take takes in a bucket's answer to a report.
-func (c *Core) Take(now time.Time, bucket string, a jobs.Answer) {
+func (c *Core) Take(now time.Time, bucket string, a jobs.RackReply) {
 	if !a.OK {
 		return
 	}
@@ -218,7 +218,7 @@
 		}
 	}
 	old, spoken := c.wants[bucket]
-	next := make(map[jobs.Place]want, len(a.Run))
+	next := make(map[jobs.Placement]want, len(a.Run))
 	for _, t := range a.Run {
 		c.heard[bucket] = max(c.heard[bucket], t.Place.No)
 		if _, back := c.backs[t.Place]; back {
@@ -242,8 +242,8 @@
 }
 
 // Report returns what the bucket has to hear; with offer it names what is free.
-func (c *Core) Report(bucket string, offer bool) jobs.Report {
-	rep := jobs.Report{Rack: c.o.Rack, Zone: c.o.Zone, Ep: c.o.Ep, Usable: c.conf.Usable, Heard: c.heard[bucket], Back: map[jobs.Place]time.Duration{}}
+func (c *Core) Report(bucket string, offer bool) jobs.RackReport {
+	rep := jobs.RackReport{Rack: c.o.Rack, Zone: c.o.Zone, Ep: c.o.Ep, Usable: c.conf.Usable, Heard: c.heard[bucket], Back: map[jobs.Placement]time.Duration{}}
 	for _, r := range c.sorted() {
 		if c.bucket(r.place) != bucket {
 			continue
--- a/internal/batch/rack/guard_test.go
+++ b/internal/batch/rack/guard_test.go
@@ -19,7 +19,7 @@
 
 func newBench() *bench {
 	b := &bench{now: time.Unix(1000, 0), begin: time.Unix(1000, 0)}
-	b.worker = fakeworker.NewAt(workerSize, 0, func() wire.Clock { return wire.Clock(b.now.Sub(b.begin)) })
+	b.worker = fakeworker.NewAt(workerSize, 0, func() wire.WorkerTime { return wire.WorkerTime(b.now.Sub(b.begin)) })
 	return b
 }
 
@@ -29,7 +29,7 @@
 	c.SetWorkers([]string{"w"})
 	b.deliver(c, b.tick(c))
 	b.deliver(c, b.tick(c))
-	c.Take(b.now, "b", jobs.Answer{OK: true})
+	c.Take(b.now, "b", jobs.RackReply{OK: true})
 	return c
 }
 
@@ -64,9 +64,9 @@
 }
 
 // want makes the bucket want one task here.
-func (b *bench) want(c *Core) jobs.Place {
-	p := jobs.Place{Job: "audit", Index: 0, No: 1}
-	c.Take(b.now, "b", jobs.Answer{OK: true, Run: []jobs.Task{{Place: p,
+func (b *bench) want(c *Core) jobs.Placement {
+	p := jobs.Placement{Job: "audit", Index: 0, No: 1}
+	c.Take(b.now, "b", jobs.RackReply{OK: true, Run: []jobs.Task{{Place: p,
 		Spec: jobs.Spec{ID: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: time.Hour}}}})
 	return p
 }
@@ -80,7 +80,7 @@
 	b.want(old)
 	late := b.tick(old)
 	b.holder(2)
-	if refused := b.deliver(old, late); len(refused) != 1 || refused[0] != wire.RefusalEpoch || len(b.worker.RunningTasks()) > 0 {
+	if refused := b.deliver(old, late); len(refused) != 1 || refused[0] != wire.RefusalEpochMismatch || len(b.worker.RunningTasks()) > 0 {
 		t.Errorf("a former holder's start: refused %v, runs %v", refused, b.worker.RunningTasks())
 	}
 }
@@ -172,7 +172,7 @@
 	b.deliver(c, actions)
 	late := b.tick(c)
 	b.now = b.now.Add(freshOf + time.Millisecond)
-	if refused := b.deliver(c, late); len(refused) != 1 || refused[0] != wire.RefusalLate {
+	if refused := b.deliver(c, late); len(refused) != 1 || refused[0] != wire.RefusalDeadlinePassed {
 		t.Errorf("a start that arrives too late: refused %v", refused)
 	}
 }
@@ -184,20 +184,20 @@
 	c := b.holder(1)
 	bucket := jobs.New(jobs.Bucket{}, 1)
 	write := func() {
-		if _, err := bucket.Begin("id"); err != nil {
+		if _, err := bucket.BeginWrite("id"); err != nil {
 			t.Fatal(err)
 		}
-		bucket.Ended(true)
+		bucket.EndWrite(true)
 	}
 	write()
 	if err := bucket.Submit(b.now, jobs.Spec{ID: "audit", Kind: "audit", N: 3, Size: workerSize, Run: time.Minute}); err != nil {
 		t.Fatal(err)
 	}
 	write()
-	exchange := func(when string, waiting int, rep jobs.Report) {
+	exchange := func(when string, waiting int, rep jobs.RackReport) {
 		t.Helper()
-		a := bucket.Hear(b.now, rep, func(string) bool { return true })
-		if n, _ := bucket.Waiting(); n != waiting {
+		a := bucket.HandleReport(b.now, rep, func(string) bool { return true })
+		if n, _ := bucket.CountWaiting(); n != waiting {
 			t.Errorf("%s: %d tasks wait, not %d", when, n, waiting)
 		}
 		c.Take(b.now, "b", a)
--- a/internal/batch/rack/virtual_test.go
+++ b/internal/batch/rack/virtual_test.go
@@ -66,7 +66,7 @@
 		workers: map[string]*fakeworker.Worker{}, cut: map[string]bool{}, racks: map[string]*holding{},
 		out: map[string]time.Time{}, finals: map[string]jobs.State{}, refused: map[wire.Refusal]int{},
 	}
-	clock := func() wire.Clock { return wire.Clock(w.Now().Sub(w.begin)) }
+	clock := func() wire.WorkerTime { return wire.WorkerTime(w.Now().Sub(w.begin)) }
 	for r := range racks {
 		for i := range perRack {
 			w.workers[fmt.Sprintf("r%d/w%d", r, i)] = fakeworker.NewAt(workerSize, 300*time.Millisecond, clock)
@@ -213,10 +213,10 @@
 func (w *world) sync(h *holding, again func()) {
 	h.offers++
 	rep := h.core.Report("b", true)
-	var a jobs.Answer
+	var a jobs.RackReply
 	w.call(func() {
 		if b := w.bucket; b != nil && !b.dead {
-			a = b.core.Hear(w.Now(), rep, func(string) bool {
+			a = b.core.HandleReport(w.Now(), rep, func(string) bool {
 				_, out := w.out[rep.Zone]
 				return !out
 			})
@@ -252,10 +252,10 @@
 
 // commit writes the record; an answer that is lost is settled by reading back.
 func (w *world) commit(b *bucketHolding) {
-	if b.writing || !b.core.Dirty() {
+	if b.writing || !b.core.NeedsWrite() {
 		return
 	}
-	value, err := b.core.Begin(fmt.Sprint(w.Seq()))
+	value, err := b.core.BeginWrite(fmt.Sprint(w.Seq()))
 	if err != nil {
 		w.broken("record: %v", err)
 		return
@@ -275,7 +275,7 @@
 		}
 		if string(w.stored) == string(value) {
 			b.rev, b.writing = w.rev, false
-			b.core.Ended(true)
+			b.core.EndWrite(true)
 			return
 		}
 		if w.rev != from {
@@ -329,7 +329,7 @@
 			where[task] = addr
 		}
 	}
-	if n := w.refused[wire.RefusalRoom]; n > 0 {
+	if n := w.refused[wire.RefusalNoCapacity]; n > 0 {
 		w.broken("%d starts were refused for want of room", n)
 	}
 }
--- a/internal/batch/rack/worker.go
+++ b/internal/batch/rack/worker.go
@@ -14,7 +14,7 @@
 	busy   bool // a fence or renewal is under way
 	tried  time.Time
 	// clock was the worker's own time when an answer came in at heard.
-	clock wire.Clock
+	clock wire.WorkerTime
 	heard time.Time
 	// seen is when it last answered anything, a lagging report included.
 	seen time.Time
@@ -30,8 +30,8 @@
 //
 // Commands carry moments reckoned by this, so that one which is late, because this
 // process or the network stood still after it was decided, is refused or changes nothing.
-func (w *worker) at(local time.Time) wire.Clock {
-	return w.clock + wire.Clock(local.Sub(w.heard))
+func (w *worker) at(local time.Time) wire.WorkerTime {
+	return w.clock + wire.WorkerTime(local.Sub(w.heard))
 }
 
 func (w *worker) hear(now time.Time, r wire.Report) {
--- a/internal/batch/wire/wire.go
+++ b/internal/batch/wire/wire.go
@@ -35,10 +35,10 @@
 
 // The reasons of a refusal; each means that nothing was changed.
 const (
-	RefusalEpoch Refusal = "epoch" // the command is of another holder's epoch
-	RefusalLease Refusal = "lease" // the worker's lease has lapsed
-	RefusalRoom  Refusal = "room"  // not enough resources
-	RefusalLate  Refusal = "late"  // it arrived after its time
+	RefusalEpochMismatch  Refusal = "epoch" // the command is of another holder's epoch
+	RefusalLeaseExpired   Refusal = "lease" // the worker's lease has lapsed
+	RefusalNoCapacity     Refusal = "room"  // not enough resources
+	RefusalDeadlinePassed Refusal = "late"  // it arrived after its time
 )
 
 // Verb is a command about a task that is already on the worker.
@@ -46,51 +46,51 @@
 
 // The verbs of Act.
 const (
-	VerbCheckpoint Verb = "checkpoint" // save the progress, then stop
-	VerbStop       Verb = "stop"       // stop and lose the progress since the start
-	VerbThrottle   Verb = "throttle"
-	VerbAccept     Verb = "accept" // a finished task counts: let its result out, then forget it
-	VerbForget     Verb = "forget" // drop a task that no longer runs, with any result
+	VerbCheckpoint   Verb = "checkpoint" // save the progress, then stop
+	VerbStop         Verb = "stop"       // stop and lose the progress since the start
+	VerbThrottle     Verb = "throttle"
+	VerbAcceptResult Verb = "accept" // a finished task counts: let its result out, then forget it
+	VerbForget       Verb = "forget" // drop a task that no longer runs, with any result
 )
 
 // Task is what a worker needs to run a task.
 type Task struct {
-	ID       string        `json:"id"`
-	Size     Size          `json:"size"`
-	Run      time.Duration `json:"run"`  // work in total
-	From     time.Duration `json:"from"` // work done before, by checkpoint
-	Standing bool          `json:"standing,omitempty"`
+	ID          string        `json:"id"`
+	Size        Size          `json:"size"`
+	Duration    time.Duration `json:"run"`  // work in total
+	ResumeFrom  time.Duration `json:"from"` // work done before, by checkpoint
+	LongRunning bool          `json:"standing,omitempty"`
 }
 
-// Clock is a moment on a worker's own monotonic clock, as time since the worker began.
-type Clock time.Duration
+// WorkerTime is a moment on a worker's own monotonic clock, as time since the worker began.
+type WorkerTime time.Duration
 
-// Fence raises a worker's epoch; it extends no lease.
-type Fence struct {
+// FenceRequest raises a worker's epoch; it extends no lease.
+type FenceRequest struct {
 	Epoch uint64 `json:"epoch"`
 }
 
-// Renew sets until when the worker's tasks may run. The moment is on the worker's own
+// RenewRequest sets until when the worker's tasks may run. The moment is on the worker's own
 // clock, so that a renewal which arrives late extends nothing.
-type Renew struct {
-	Epoch uint64 `json:"epoch"`
-	Until Clock  `json:"until"`
+type RenewRequest struct {
+	Epoch uint64     `json:"epoch"`
+	Until WorkerTime `json:"until"`
 }
 
-// Start asks a worker to run a task not later than a moment on its own clock;
+// StartRequest asks a worker to run a task not later than a moment on its own clock;
 // repeating it for a task already there changes nothing.
-type Start struct {
-	Epoch    uint64 `json:"epoch"`
-	NotAfter Clock  `json:"notafter"`
-	Task     Task   `json:"task"`
+type StartRequest struct {
+	Epoch    uint64     `json:"epoch"`
+	NotAfter WorkerTime `json:"notafter"`
+	Task     Task       `json:"task"`
 }
 
-// Act asks a worker to do something with a task that it has.
-type Act struct {
-	Epoch uint64  `json:"epoch"`
-	ID    string  `json:"id"`
-	Verb  Verb    `json:"verb"`
-	Rate  float64 `json:"rate,omitempty"` // share of full speed, 0 to 1, for a throttle
+// TaskCommandRequest asks a worker to do something with a task that it has.
+type TaskCommandRequest struct {
+	Epoch  uint64  `json:"epoch"`
+	TaskID string  `json:"id"`
+	Verb   Verb    `json:"verb"`
+	Rate   float64 `json:"rate,omitempty"` // share of full speed, 0 to 1, for a throttle
 }
 
 // TaskReport is one task as its worker sees it.
@@ -104,7 +104,7 @@
 // Report is a worker's inventory; in the answer to a command it is current, by itself it lags.
 type Report struct {
 	Epoch uint64       `json:"epoch"`
-	Now   Clock        `json:"now"`
+	Now   WorkerTime   `json:"now"`
 	Size  Size         `json:"size"`
 	Tasks []TaskReport `json:"tasks"`
 }
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -15,26 +15,26 @@
 
 // Worker is a simulated worker. It is created by New or NewAt.
 type Worker struct {
-	mu         sync.Mutex        // guards the fields below
-	now        func() wire.Clock // the worker's clock
-	size       wire.Size         // resources in all
-	epoch      uint64            // highest epoch of a fence received
-	leaseUntil wire.Clock        // lease expiry
-	tasks      map[string]*task  // by ID, ended ones too until they are forgotten
-	starts     map[string]int    // number of starts by task ID
+	mu         sync.Mutex             // guards the fields below
+	now        func() wire.WorkerTime // the worker's clock
+	size       wire.Size              // resources in all
+	epoch      uint64                 // highest epoch of a fence received
+	leaseUntil wire.WorkerTime        // lease expiry
+	tasks      map[string]*task       // by ID, ended ones too until they are forgotten
+	starts     map[string]int         // number of starts by task ID
 	// acceptedResults is the number of released results by task ID. A task has no other effect outside the worker.
 	acceptedResults map[string]int
-	reportLag       time.Duration // greatest age of lastReport
-	lastReport      wire.Report   // what Report returns until it is too old
-	reportedAt      wire.Clock    // when lastReport was made
-	failTasks       bool          // tasks that start fail at once
+	reportLag       time.Duration   // greatest age of lastReport
+	lastReport      wire.Report     // what Report returns until it is too old
+	reportedAt      wire.WorkerTime // when lastReport was made
+	failTasks       bool            // tasks that start fail at once
 }
 
 // task is a task that was started here and has not been forgotten.
 type task struct {
 	spec      wire.Task
-	updatedAt wire.Clock    // until when the progress is counted
-	progress  time.Duration // work done, at full speed
+	updatedAt wire.WorkerTime // until when the progress is counted
+	progress  time.Duration   // work done, at full speed
 	state     wire.TaskState
 	speed     float64 // share of full speed, 0 to 1
 }
@@ -42,11 +42,11 @@
 // New returns a worker of the given size whose reports lag by up to lag. Its clock starts at 0.
 func New(size wire.Size, lag time.Duration) *Worker {
 	startedAt := time.Now()
-	return NewAt(size, lag, func() wire.Clock { return wire.Clock(time.Since(startedAt)) })
+	return NewAt(size, lag, func() wire.WorkerTime { return wire.WorkerTime(time.Since(startedAt)) })
 }
 
 // NewAt is like New with the given clock.
-func NewAt(size wire.Size, lag time.Duration, now func() wire.Clock) *Worker {
+func NewAt(size wire.Size, lag time.Duration, now func() wire.WorkerTime) *Worker {
 	return &Worker{now: now, size: size, reportLag: lag, tasks: map[string]*task{}, starts: map[string]int{}, acceptedResults: map[string]int{}}
 }
 
@@ -104,11 +104,11 @@
 //
 // It guards against a former holder that was paused and resumes: its commands
 // carry an older epoch and are refused from now on, whenever they were sent.
-func (w *Worker) Fence(in wire.Fence) (wire.Report, wire.Refusal) {
+func (w *Worker) Fence(in wire.FenceRequest) (wire.Report, wire.Refusal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if in.Epoch < w.epoch {
-		return wire.Report{}, wire.RefusalEpoch
+		return wire.Report{}, wire.RefusalEpochMismatch
 	}
 	w.updateTasks()
 	w.epoch = in.Epoch
@@ -138,11 +138,11 @@
 }
 
 // Renew extends the lease under which the tasks run.
-func (w *Worker) Renew(in wire.Renew) (wire.Report, wire.Refusal) {
+func (w *Worker) Renew(in wire.RenewRequest) (wire.Report, wire.Refusal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if in.Epoch != w.epoch {
-		return wire.Report{}, wire.RefusalEpoch
+		return wire.Report{}, wire.RefusalEpochMismatch
 	}
 	w.updateTasks()
 	w.leaseUntil = max(w.leaseUntil, in.Until)
@@ -151,21 +151,21 @@
 
 // Start starts a task, unless it was started here before and has not been forgotten. The lease must not have
 // expired, the start must not be too late, and the free resources must cover the task.
-func (w *Worker) Start(in wire.Start) (wire.Report, wire.Refusal) {
+func (w *Worker) Start(in wire.StartRequest) (wire.Report, wire.Refusal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.updateTasks()
 	if in.Epoch != w.epoch {
-		return wire.Report{}, wire.RefusalEpoch
+		return wire.Report{}, wire.RefusalEpochMismatch
 	}
 	if t := w.tasks[in.Task.ID]; t != nil {
 		return w.snapshot(), ""
 	}
 	if w.now() > w.leaseUntil {
-		return wire.Report{}, wire.RefusalLease
+		return wire.Report{}, wire.RefusalLeaseExpired
 	}
 	if w.now() > in.NotAfter {
-		return wire.Report{}, wire.RefusalLate
+		return wire.Report{}, wire.RefusalDeadlinePassed
 	}
 	free := w.size
 	for _, t := range w.tasks {
@@ -174,26 +174,26 @@
 		}
 	}
 	if !free.Covers(in.Task.Size) {
-		return wire.Report{}, wire.RefusalRoom
+		return wire.Report{}, wire.RefusalNoCapacity
 	}
 	w.starts[in.Task.ID]++
 	state := wire.TaskRunning
 	if w.failTasks {
 		state = wire.TaskFailed
 	}
-	w.tasks[in.Task.ID] = &task{spec: in.Task, updatedAt: w.now(), progress: in.Task.From, state: state, speed: 1}
+	w.tasks[in.Task.ID] = &task{spec: in.Task, updatedAt: w.now(), progress: in.Task.ResumeFrom, state: state, speed: 1}
 	return w.snapshot(), ""
 }
 
 // Act checkpoints, stops, throttles or forgets a task, or accepts its result.
-func (w *Worker) Act(in wire.Act) (wire.Report, wire.Refusal) {
+func (w *Worker) Act(in wire.TaskCommandRequest) (wire.Report, wire.Refusal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.updateTasks()
 	if in.Epoch != w.epoch {
-		return wire.Report{}, wire.RefusalEpoch
+		return wire.Report{}, wire.RefusalEpochMismatch
 	}
-	t := w.tasks[in.ID]
+	t := w.tasks[in.TaskID]
 	if t == nil {
 		return w.snapshot(), ""
 	}
@@ -204,18 +204,18 @@
 		}
 	case wire.VerbStop:
 		if t.state == wire.TaskRunning {
-			t.state, t.progress = wire.TaskStopped, t.spec.From
+			t.state, t.progress = wire.TaskStopped, t.spec.ResumeFrom
 		}
 	case wire.VerbThrottle:
 		t.speed = in.Rate
-	case wire.VerbAccept:
+	case wire.VerbAcceptResult:
 		if t.state == wire.TaskFinished {
-			w.acceptedResults[in.ID]++
-			delete(w.tasks, in.ID)
+			w.acceptedResults[in.TaskID]++
+			delete(w.tasks, in.TaskID)
 		}
 	case wire.VerbForget:
 		if t.state != wire.TaskRunning {
-			delete(w.tasks, in.ID)
+			delete(w.tasks, in.TaskID)
 		}
 	}
 	return w.snapshot(), ""
@@ -238,7 +238,7 @@
 		}
 		t.updatedAt = now
 		switch {
-		case t.progress >= t.spec.Run && !t.spec.Standing:
+		case t.progress >= t.spec.Duration && !t.spec.LongRunning:
 			t.state = wire.TaskFinished
 		case now > w.leaseUntil:
 			t.state = wire.TaskStopped
--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -183,7 +183,7 @@
 }
 
 func (n *Node) showJob(w http.ResponseWriter, r *http.Request) {
-	answerJob(w, n.holder.Show(r.Context(), chi.URLParam(r, "id")))
+	answerJob(w, n.holder.ReadJob(r.Context(), chi.URLParam(r, "id")))
 }
 
 // JobView is a job as the administration API shows it.
@@ -202,11 +202,11 @@
 		answer(w, http.StatusOK, JobView{j.Spec, j.State, j.Why, int(j.Done.Count()), len(j.Place)})
 	case hold.CodeInvalid:
 		answer(w, http.StatusBadRequest, Problem{AdminInvalid, rep.Text})
-	case hold.CodeExists:
+	case hold.CodeIDTaken:
 		answer(w, http.StatusConflict, Problem{AdminConflict, rep.Text})
-	case hold.CodeAbsent:
+	case hold.CodeNotFound:
 		answer(w, http.StatusNotFound, Problem{AdminAbsent, rep.Text})
-	case hold.CodeFull:
+	case hold.CodeBucketFull:
 		answer(w, http.StatusServiceUnavailable, Problem{AdminFull, rep.Text})
 	default:
 		answer(w, http.StatusServiceUnavailable, Problem{AdminStore, rep.Text})
@@ -238,7 +238,7 @@
 	view, c := n.group.View(), n.feed.Now()
 	s := Status{Node: n.id, Zone: n.s.Zone, Ready: n.Ready(), Sure: n.keeper.Sure(), Epoch: view.Epoch(),
 		Config: c.Num, Services: map[string]ServiceStatus{}}
-	s.Racks, s.Buckets = n.holder.Names()
+	s.Racks, s.Buckets = n.holder.HeldNames()
 	for _, m := range view.Members() {
 		s.Members = append(s.Members, m.ID)
 	}
--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -140,9 +140,9 @@
 	n.homes = once.NewRegistry(once.NewTable(n.s.Limit.RequestIDRetention), n.group, n.links, n.s.Peer.Timeout, n.log)
 	n.holder = hold.New(hold.Options{
 		Store: n.store, Group: n.group, Keeper: n.keeper, Links: n.links,
-		Config: n.feed.Now, Age: n.feed.Age, Hosts: n.hosts.now,
-		Buckets: n.s.Worker.Buckets, Lease: n.s.Worker.LeaseTTL, Poll: n.s.Worker.PollInterval, Fresh: n.s.Worker.MaxConfigAge,
-		Timeout: n.s.Peer.Timeout, Log: n.log, Scope: n.scope,
+		Config: n.feed.Now, ConfigAge: n.feed.Age, Hosts: n.hosts.now,
+		BucketCount: n.s.Worker.Buckets, LeaseTTL: n.s.Worker.LeaseTTL, PollInterval: n.s.Worker.PollInterval, MaxConfigAge: n.s.Worker.MaxConfigAge,
+		CallTimeout: n.s.Peer.Timeout, Log: n.log, Scope: n.scope,
 	})
 	n.relay = relay.New(n.s.Limit.MaxAnswerBytes, n.group.Authorized)
 	n.entry = entry.New(n.id, entry.Options{
--- a/internal/proc/node/peer.go
+++ b/internal/proc/node/peer.go
@@ -80,7 +80,7 @@
 
 // Yield gives up a rack or a bucket.
 func (p *Peer) Yield(in hold.YieldArgs, out *bool) error {
-	*out = p.n.holder.Yield(in)
+	*out = p.n.holder.HandleYield(in)
 	return nil
 }
 
@@ -88,12 +88,12 @@
 func (p *Peer) Submit(in hold.SubmitArgs, out *hold.SubmitReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
-	*out = p.n.holder.Accept(ctx, in)
+	*out = p.n.holder.SubmitLocal(ctx, in)
 	return nil
 }
 
 // Sync answers the reports of racks.
 func (p *Peer) Sync(in hold.SyncArgs, out *hold.SyncReply) error {
-	*out = p.n.holder.Sync(in)
+	*out = p.n.holder.HandleReports(in)
 	return nil
 }
--- a/internal/proc/node/routes.go
+++ b/internal/proc/node/routes.go
@@ -250,7 +250,7 @@
 const handOverFor = 5 * time.Second
 
 func (r *routes) owned() int {
-	sum := r.n.holder.Held()
+	sum := r.n.holder.CountHeld()
 	for _, rt := range r.all() {
 		sum += len(rt.broker.Targets())
 	}
--- a/internal/proc/tool/job.go
+++ b/internal/proc/tool/job.go
@@ -76,7 +76,7 @@
 				N: c.Int("n"), Size: wire.Size{CPU: c.Int("cpu"), Mem: c.Int("mem"), Accel: c.Int("accel")},
 				Run: c.Duration("run"), Standing: c.Bool("standing"),
 			}
-			if err := s.Check(); err != nil {
+			if err := s.Validate(); err != nil {
 				return exit{err, ExitInvalid}
 			}
 			v, err := call[node.JobView](ctx, c, http.MethodPost, "/v1/jobs", s)
