--- a/internal/batch/hold/rack.go
+++ b/internal/batch/hold/rack.go
@@ -30,7 +30,7 @@
 // addRack holds a rack from now on; its workers are fenced one by one.
 func (h *Holder) addRack(name, zone string, row shard.Row) {
 	r := &heldRack{name: name, epoch: row.Ep, waitingTasks: map[string]int{}, urgentTasks: map[string]int{}, polling: map[string]bool{},
-		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Ep: row.Ep, Lease: h.opts.LeaseTTL, Fresh: h.opts.MaxConfigAge, Bucket: h.BucketOf})}
+		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Epoch: row.Ep, LeaseTTL: h.opts.LeaseTTL, MaxConfigAge: h.opts.MaxConfigAge, BucketOf: h.BucketOf})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if mine, ok := h.opts.Keeper.Mine(RackTable)[name]; ok && mine.Ep == row.Ep && h.racks[name] == nil {
@@ -72,7 +72,7 @@
 	for _, r := range h.heldRacks() {
 		r.mu.Lock()
 		r.core.SetWorkers(byRack[r.name])
-		actions := r.core.Tick(now, rack.Config{Usable: conf.Usable(r.core.Zone()), Confirmed: confirmed})
+		actions := r.core.Tick(now, rack.ZoneStatus{Usable: conf.Usable(r.core.Zone()), ConfirmedAt: confirmed})
 		r.mu.Unlock()
 		for _, a := range actions {
 			h.wg.Go(func() { h.execute(ctx, r, a) })
@@ -86,27 +86,27 @@
 	switch a := a.(type) {
 	case rack.Fence:
 		res := sendCommand(ctx, h.workerClient, a.Addr, "fence", a.Msg)
-		r.update(func(now time.Time) { r.core.Fenced(now, a.Addr, res) })
+		r.update(func(now time.Time) { r.core.HandleFenceResult(now, a.Addr, res) })
 	case rack.Renew:
 		res := sendCommand(ctx, h.workerClient, a.Addr, "renew", a.Msg)
-		r.update(func(now time.Time) { r.core.Renewed(now, a.Addr, res) })
+		r.update(func(now time.Time) { r.core.HandleRenewResult(now, a.Addr, res) })
 	case rack.Start:
 		res := sendCommand(ctx, h.workerClient, a.Addr, "start", a.Msg)
 		h.opts.Scope.Tagged(map[string]string{"result": resultLabel(res)}).Counter("starts").Inc(1)
-		r.update(func(now time.Time) { r.core.Started(now, a.Place, res) })
-	case rack.Act:
+		r.update(func(now time.Time) { r.core.HandleStartResult(now, a.Placement, res) })
+	case rack.TaskCommand:
 		res := sendCommand(ctx, h.workerClient, a.Addr, "act", a.Msg)
 		if a.Msg.Verb == wire.VerbCheckpoint || a.Msg.Verb == wire.VerbStop {
 			h.opts.Scope.Tagged(map[string]string{"verb": string(a.Msg.Verb)}).Counter("evictions").Inc(1)
 			h.opts.Log.Info("task evicted", "task", a.Msg.TaskID, "verb", string(a.Msg.Verb), "worker", a.Addr)
 		}
-		r.update(func(now time.Time) { r.core.Acted(now, a.Place, a.Msg.Verb, res) })
+		r.update(func(now time.Time) { r.core.HandleTaskCommandResult(now, a.Placement, a.Msg.Verb, res) })
 	}
 }
 
-func resultLabel(res rack.Result) string {
+func resultLabel(res rack.CommandResult) string {
 	switch {
-	case res.Lost:
+	case res.NoAnswer:
 		return "lost"
 	case res.Refusal != "":
 		return string(res.Refusal)
@@ -135,7 +135,7 @@
 			r.update(func(time.Time) {
 				r.polling[addr] = false
 				if err == nil {
-					r.core.Reported(addr, rep)
+					r.core.HandleReport(addr, rep)
 				}
 			})
 		})
@@ -221,7 +221,7 @@
 	for i, r := range racks {
 		r.mu.Lock()
 		for _, name := range names {
-			in.Reports[name] = append(in.Reports[name], r.core.Report(name, name == offered[i]))
+			in.Reports[name] = append(in.Reports[name], r.core.BuildReport(name, name == offered[i]))
 		}
 		r.mu.Unlock()
 	}
@@ -233,7 +233,7 @@
 		r.update(func(now time.Time) {
 			for name, answers := range rep.Answers {
 				if i < len(answers) {
-					r.core.Take(now, name, answers[i])
+					r.core.HandleAnswer(now, name, answers[i])
 					r.waitingTasks[name], r.urgentTasks[name] = answers[i].Waiting, answers[i].Urgent
 				}
 			}
--- a/internal/batch/hold/workerclient.go
+++ b/internal/batch/hold/workerclient.go
@@ -37,18 +37,18 @@
 var errNoAnswer = errors.New("hold: no answer from the worker")
 
 // sendCommand sends one sendCommand; without a usable answer its outcome is unknown.
-func sendCommand[In any](ctx context.Context, w *workerClient, addr, verb string, in In) rack.Result {
+func sendCommand[In any](ctx context.Context, w *workerClient, addr, verb string, in In) rack.CommandResult {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return rack.Result{Lost: true}
+		return rack.CommandResult{NoAnswer: true}
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/"+verb, bytes.NewReader(body))
 	if err != nil {
-		return rack.Result{Lost: true}
+		return rack.CommandResult{NoAnswer: true}
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return rack.Result{Lost: true}
+		return rack.CommandResult{NoAnswer: true}
 	}
 	defer resp.Body.Close()
 	d := json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes))
@@ -56,15 +56,15 @@
 	case http.StatusOK:
 		var rep wire.Report
 		if d.Decode(&rep) == nil {
-			return rack.Result{Report: rep}
+			return rack.CommandResult{Report: rep}
 		}
 	case http.StatusConflict:
 		var no struct{ Why wire.Refusal }
 		if d.Decode(&no) == nil && no.Why != "" {
-			return rack.Result{Refusal: no.Why}
+			return rack.CommandResult{Refusal: no.Why}
 		}
 	}
-	return rack.Result{Lost: true}
+	return rack.CommandResult{NoAnswer: true}
 }
 
 func (w *workerClient) readReport(ctx context.Context, addr string) (wire.Report, error) {
--- a/internal/batch/rack/bench_test.go
+++ b/internal/batch/rack/bench_test.go
@@ -10,17 +10,17 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// benchRack returns a core with fenced workers, and no tasks.
-func benchRack(now time.Time, workers int) *Core {
-	c := New(now, Options{Rack: "r", Zone: "z", Ep: 1, Lease: time.Minute, Fresh: time.Minute, Bucket: func(string) string { return "b" }})
+// newBenchCore returns a core with fenced workers, and no tasks.
+func newBenchCore(now time.Time, workers int) *Core {
+	c := New(now, Options{Rack: "r", Zone: "z", Epoch: 1, LeaseTTL: time.Minute, MaxConfigAge: time.Minute, BucketOf: func(string) string { return "b" }})
 	var addrs []string
 	for i := range workers {
 		addrs = append(addrs, fmt.Sprintf("w%05d", i))
 	}
 	c.SetWorkers(addrs)
-	c.Tick(now, Config{Usable: true, Confirmed: now})
+	c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now})
 	for _, a := range addrs {
-		c.Fenced(now, a, Result{Report: wire.Report{Epoch: 1, Size: wire.Size{CPU: 60000, Mem: 250000}}})
+		c.HandleFenceResult(now, a, CommandResult{Report: wire.Report{Epoch: 1, Size: wire.Size{CPU: 60000, Mem: 250000}}})
 	}
 	return c
 }
@@ -44,13 +44,13 @@
 			var spent time.Duration
 			var before, after runtime.MemStats
 			for range b.N {
-				c := benchRack(now, workers)
-				c.Take(now, "b", jobs.RackReply{OK: true})
+				c := newBenchCore(now, workers)
+				c.HandleAnswer(now, "b", jobs.RackReply{OK: true})
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				began := time.Now()
-				c.Take(now, "b", jobs.RackReply{OK: true, Run: tasks})
-				got := c.Tick(now, Config{Usable: true, Confirmed: now})
+				c.HandleAnswer(now, "b", jobs.RackReply{OK: true, Run: tasks})
+				got := c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now})
 				spent += time.Since(began)
 				if len(got) < len(tasks) {
 					b.Fatalf("%d of %d were started", len(got), len(tasks))
@@ -71,17 +71,17 @@
 	for _, workers := range []int{8, 64, 500} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			c := benchRack(now, workers)
-			c.Take(now, "b", jobs.RackReply{OK: true})
-			c.Take(now, "b", jobs.RackReply{OK: true, Run: benchTasks(20 * workers)})
-			for _, a := range c.Tick(now, Config{Usable: true, Confirmed: now}) {
+			c := newBenchCore(now, workers)
+			c.HandleAnswer(now, "b", jobs.RackReply{OK: true})
+			c.HandleAnswer(now, "b", jobs.RackReply{OK: true, Run: benchTasks(20 * workers)})
+			for _, a := range c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now}) {
 				if s, ok := a.(Start); ok {
-					c.Started(now, s.Place, Result{Report: wire.Report{Size: wire.Size{CPU: 60000, Mem: 250000}}})
+					c.HandleStartResult(now, s.Placement, CommandResult{Report: wire.Report{Size: wire.Size{CPU: 60000, Mem: 250000}}})
 				}
 			}
 			for b.Loop() {
-				c.Tick(now, Config{Usable: true, Confirmed: now})
-				c.Report("b", true)
+				c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now})
+				c.BuildReport("b", true)
 			}
 		})
 	}
--- a/internal/batch/rack/guard_test.go
+++ b/internal/batch/rack/core_test.go
@@ -10,51 +10,51 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// bench is one worker and a clock, for tests that deliver each message by hand.
-type bench struct {
-	now    time.Time
-	begin  time.Time
-	worker *fakeworker.Worker
+// harness is one worker and a clock, for tests that deliver each message by hand.
+type harness struct {
+	now       time.Time
+	startTime time.Time
+	worker    *fakeworker.Worker
 }
 
-func newBench() *bench {
-	b := &bench{now: time.Unix(1000, 0), begin: time.Unix(1000, 0)}
-	b.worker = fakeworker.NewAt(workerSize, 0, func() wire.WorkerTime { return wire.WorkerTime(b.now.Sub(b.begin)) })
+func newHarness() *harness {
+	b := &harness{now: time.Unix(1000, 0), startTime: time.Unix(1000, 0)}
+	b.worker = fakeworker.NewAt(workerSize, 0, func() wire.WorkerTime { return wire.WorkerTime(b.now.Sub(b.startTime)) })
 	return b
 }
 
-// holder returns a core that has fenced and renewed the worker and heard its bucket.
-func (b *bench) holder(ep uint64) *Core {
-	c := New(b.now, Options{Rack: "r", Zone: "z", Ep: ep, Lease: leaseOf, Fresh: freshOf, Bucket: func(string) string { return "b" }})
+// newHolder returns a core that has fenced and renewed the worker and heard its bucket.
+func (b *harness) newHolder(ep uint64) *Core {
+	c := New(b.now, Options{Rack: "r", Zone: "z", Epoch: ep, LeaseTTL: testLeaseTTL, MaxConfigAge: testMaxConfigAge, BucketOf: func(string) string { return "b" }})
 	c.SetWorkers([]string{"w"})
 	b.deliver(c, b.tick(c))
 	b.deliver(c, b.tick(c))
-	c.Take(b.now, "b", jobs.RackReply{OK: true})
+	c.HandleAnswer(b.now, "b", jobs.RackReply{OK: true})
 	return c
 }
 
-func (b *bench) tick(c *Core) []Action {
-	return c.Tick(b.now, Config{Usable: true, Confirmed: b.now})
+func (b *harness) tick(c *Core) []Action {
+	return c.Tick(b.now, ZoneStatus{Usable: true, ConfirmedAt: b.now})
 }
 
 // deliver carries the actions out and hands the results back.
-func (b *bench) deliver(c *Core, actions []Action) (refused []wire.Refusal) {
+func (b *harness) deliver(c *Core, actions []Action) (refused []wire.Refusal) {
 	for _, a := range actions {
 		var no wire.Refusal
 		var rep wire.Report
 		switch a := a.(type) {
 		case Fence:
 			rep, no = b.worker.Fence(a.Msg)
-			c.Fenced(b.now, a.Addr, Result{Report: rep, Refusal: no})
+			c.HandleFenceResult(b.now, a.Addr, CommandResult{Report: rep, Refusal: no})
 		case Renew:
 			rep, no = b.worker.Renew(a.Msg)
-			c.Renewed(b.now, a.Addr, Result{Report: rep, Refusal: no})
+			c.HandleRenewResult(b.now, a.Addr, CommandResult{Report: rep, Refusal: no})
 		case Start:
 			rep, no = b.worker.Start(a.Msg)
-			c.Started(b.now, a.Place, Result{Report: rep, Refusal: no})
-		case Act:
+			c.HandleStartResult(b.now, a.Placement, CommandResult{Report: rep, Refusal: no})
+		case TaskCommand:
 			rep, no = b.worker.Act(a.Msg)
-			c.Acted(b.now, a.Place, a.Msg.Verb, Result{Report: rep, Refusal: no})
+			c.HandleTaskCommandResult(b.now, a.Placement, a.Msg.Verb, CommandResult{Report: rep, Refusal: no})
 		}
 		if no != "" {
 			refused = append(refused, no)
@@ -63,10 +63,10 @@
 	return refused
 }
 
-// want makes the bucket want one task here.
-func (b *bench) want(c *Core) jobs.Placement {
+// wantTask makes the bucket wantTask one task here.
+func (b *harness) wantTask(c *Core) jobs.Placement {
 	p := jobs.Placement{Job: "audit", Index: 0, No: 1}
-	c.Take(b.now, "b", jobs.RackReply{OK: true, Run: []jobs.Task{{Place: p,
+	c.HandleAnswer(b.now, "b", jobs.RackReply{OK: true, Run: []jobs.Task{{Place: p,
 		Spec: jobs.Spec{ID: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: time.Hour}}}})
 	return p
 }
@@ -74,12 +74,12 @@
 // A holder is paused between deciding a start and sending it, loses the rack, and wakes
 // up within the start's time. A user would see the audit run twice: there, and where
 // the new holder has had it placed since. The worker must refuse the older epoch.
-func TestFencedStart(t *testing.T) {
-	b := newBench()
-	old := b.holder(1)
-	b.want(old)
+func TestFormerHolderStartRefused(t *testing.T) {
+	b := newHarness()
+	old := b.newHolder(1)
+	b.wantTask(old)
 	late := b.tick(old)
-	b.holder(2)
+	b.newHolder(2)
 	if refused := b.deliver(old, late); len(refused) != 1 || refused[0] != wire.RefusalEpochMismatch || len(b.worker.RunningTasks()) > 0 {
 		t.Errorf("a former holder's start: refused %v, runs %v", refused, b.worker.RunningTasks())
 	}
@@ -88,17 +88,17 @@
 // A renewal is held up on its way for longer than the lease. The holder has given the
 // worker up by then and its task runs elsewhere; the renewal must not revive it.
 func TestLateRenewal(t *testing.T) {
-	b := newBench()
-	c := b.holder(1)
-	b.want(c)
+	b := newHarness()
+	c := b.newHolder(1)
+	b.wantTask(c)
 	b.deliver(c, b.tick(c))
 	if len(b.worker.RunningTasks()) != 1 {
 		t.Fatal("the task doesn't run")
 	}
-	b.now = b.now.Add(leaseOf / 2)
+	b.now = b.now.Add(testLeaseTTL / 2)
 	b.deliver(c, b.tick(c))
 	renewed := b.now
-	b.now = b.now.Add(leaseOf / 6)
+	b.now = b.now.Add(testLeaseTTL / 6)
 	var late []Renew
 	for _, a := range b.tick(c) {
 		if r, ok := a.(Renew); ok {
@@ -109,11 +109,11 @@
 		t.Fatalf("%d renewals", len(late))
 	}
 	decided := b.now
-	b.now = renewed.Add(leaseOf - time.Millisecond) // the lease before is about to end
+	b.now = renewed.Add(testLeaseTTL - time.Millisecond) // the lease before is about to end
 	if _, no := b.worker.Renew(late[0].Msg); no != "" {
 		t.Fatal(no)
 	}
-	b.now = decided.Add(leaseOf + time.Millisecond)
+	b.now = decided.Add(testLeaseTTL + time.Millisecond)
 	if len(b.worker.RunningTasks()) > 0 {
 		t.Error("a late renewal keeps the task running after its lease, as the holder reckons it")
 	}
@@ -124,9 +124,9 @@
 // finished, but not before the worker has certainly stopped it.
 func TestSilentWorker(t *testing.T) {
 	for _, reached := range []bool{false, true} {
-		b := newBench()
-		c := b.holder(1)
-		p := b.want(c)
+		b := newHarness()
+		c := b.newHolder(1)
+		p := b.wantTask(c)
 		b.deliver(c, b.tick(c))
 		back := false
 		for range 300 {
@@ -137,12 +137,12 @@
 					if reached {
 						_, _ = b.worker.Renew(a.Msg)
 					}
-					c.Renewed(b.now, a.Addr, Result{Lost: true})
+					c.HandleRenewResult(b.now, a.Addr, CommandResult{NoAnswer: true})
 				case Fence:
-					c.Fenced(b.now, a.Addr, Result{Lost: true})
+					c.HandleFenceResult(b.now, a.Addr, CommandResult{NoAnswer: true})
 				}
 			}
-			if _, back = c.Report("b", false).Back[p]; back {
+			if _, back = c.BuildReport("b", false).Back[p]; back {
 				break
 			}
 		}
@@ -150,7 +150,7 @@
 			t.Errorf("reached %t: never given back", reached)
 		}
 		if back && len(b.worker.RunningTasks()) > 0 {
-			t.Errorf("reached %t: given back after %s while it runs", reached, b.now.Sub(b.begin))
+			t.Errorf("reached %t: given back after %s while it runs", reached, b.now.Sub(b.startTime))
 		}
 	}
 }
@@ -158,12 +158,12 @@
 // The store has been silent: operators may have taken the domain out since. Nothing new
 // may start, and a start that was decided in time but arrives late must be refused.
 func TestStaleConfiguration(t *testing.T) {
-	b := newBench()
-	c := b.holder(1)
-	b.want(c)
+	b := newHarness()
+	c := b.newHolder(1)
+	b.wantTask(c)
 	confirmed := b.now
-	b.now = b.now.Add(freshOf)
-	actions := c.Tick(b.now, Config{Usable: true, Confirmed: confirmed})
+	b.now = b.now.Add(testMaxConfigAge)
+	actions := c.Tick(b.now, ZoneStatus{Usable: true, ConfirmedAt: confirmed})
 	for _, a := range actions {
 		if _, ok := a.(Start); ok {
 			t.Error("a task is started by a configuration that isn't confirmed any more")
@@ -171,7 +171,7 @@
 	}
 	b.deliver(c, actions)
 	late := b.tick(c)
-	b.now = b.now.Add(freshOf + time.Millisecond)
+	b.now = b.now.Add(testMaxConfigAge + time.Millisecond)
 	if refused := b.deliver(c, late); len(refused) != 1 || refused[0] != wire.RefusalDeadlinePassed {
 		t.Errorf("a start that arrives too late: refused %v", refused)
 	}
@@ -179,9 +179,9 @@
 
 // A rack offers its room again before it has heard what the last offer was used for. Used
 // twice, the room would have tasks waiting for it that other racks could start at once.
-func TestRoomGivenOnce(t *testing.T) {
-	b := newBench()
-	c := b.holder(1)
+func TestOfferUsedOnce(t *testing.T) {
+	b := newHarness()
+	c := b.newHolder(1)
 	bucket := jobs.New(jobs.Bucket{}, 1)
 	write := func() {
 		if _, err := bucket.BeginWrite("id"); err != nil {
@@ -200,22 +200,22 @@
 		if n, _ := bucket.CountWaiting(); n != waiting {
 			t.Errorf("%s: %d tasks wait, not %d", when, n, waiting)
 		}
-		c.Take(b.now, "b", a)
+		c.HandleAnswer(b.now, "b", a)
 	}
-	exchange("at the first offer", 2, c.Report("b", true))
-	exchange("before the store holds the placement", 2, c.Report("b", true))
-	late := c.Report("b", true)
+	exchange("at the first offer", 2, c.BuildReport("b", true))
+	exchange("before the store holds the placement", 2, c.BuildReport("b", true))
+	late := c.BuildReport("b", true)
 	write()
 	exchange("as the store holds it, before the rack has heard", 2, late)
-	exchange("while the task waits for its start", 2, c.Report("b", true))
+	exchange("while the task waits for its start", 2, c.BuildReport("b", true))
 	b.deliver(c, b.tick(c))
-	exchange("while the task runs", 2, c.Report("b", true))
+	exchange("while the task runs", 2, c.BuildReport("b", true))
 	if len(b.worker.RunningTasks()) != 1 {
 		t.Fatalf("running: %v", b.worker.RunningTasks())
 	}
-	for end := b.now.Add(time.Minute); !b.now.After(end); b.now = b.now.Add(leaseOf / 4) {
+	for end := b.now.Add(time.Minute); !b.now.After(end); b.now = b.now.Add(testLeaseTTL / 4) {
 		b.deliver(c, b.tick(c))
 	}
-	c.Reported("w", b.worker.Report())
-	exchange("after its end", 1, c.Report("b", true))
+	c.HandleReport("w", b.worker.Report())
+	exchange("after its end", 1, c.BuildReport("b", true))
 }
--- a/internal/batch/rack/rack_test.go
+++ b/internal/batch/rack/faults_test.go
@@ -25,29 +25,29 @@
 // two workers, one lost, or one started where operators said no.
 func TestExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"))
-		specs := drawJobs(t)
-		w.mess = rapid.Bool().Draw(t, "mess")
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"))
+		specs := drawJobSpecs(t)
+		w.faultsEnabled = rapid.Bool().Draw(t, "mess")
 		submitted := map[string]jobs.Spec{}
 		for _, s := range specs {
 			submitted[s.ID] = s
-			w.submit(s)
+			w.submitUntilStored(s)
 		}
 		cancelled := drawFaults(t, w, specs)
-		w.run(40 * time.Second)
-		w.mend()
-		w.run(5 * time.Minute)
-		if w.fault != "" {
-			t.Fatal(w.fault)
+		w.runFor(40 * time.Second)
+		w.endFaults()
+		w.runFor(5 * time.Minute)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
-		accepts := w.accepts()
+		accepts := w.acceptedResults()
 		for id, s := range submitted {
-			checkJob(t, w, s, cancelled[id], accepts)
+			checkJobEnd(t, w, s, cancelled[id], accepts)
 		}
 	})
 }
 
-func drawJobs(t *rapid.T) []jobs.Spec {
+func drawJobSpecs(t *rapid.T) []jobs.Spec {
 	var specs []jobs.Spec
 	for i := range rapid.IntRange(1, 4).Draw(t, "jobs") {
 		specs = append(specs, jobs.Spec{
@@ -59,77 +59,77 @@
 	return specs
 }
 
-func drawFaults(t *rapid.T, w *world, specs []jobs.Spec) map[string]bool {
+func drawFaults(t *rapid.T, w *simulation, specs []jobs.Spec) map[string]bool {
 	at := func(what string) time.Duration {
 		return time.Duration(rapid.IntRange(500, 35000).Draw(t, what)) * time.Millisecond
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "deaths") {
-		rack := fmt.Sprintf("r%d", rapid.IntRange(0, racks-1).Draw(t, "rack"))
-		w.AfterFunc(at("death"), func() { w.killHolder(rack) })
+		rack := fmt.Sprintf("r%d", rapid.IntRange(0, rackCount-1).Draw(t, "rack"))
+		w.AfterFunc(at("death"), func() { w.killRackHolder(rack) })
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "bucket deaths") {
-		w.AfterFunc(at("bucket death"), w.killBucket)
+		w.AfterFunc(at("bucket death"), w.killBucketHolder)
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "cuts") {
-		addr := fmt.Sprintf("r%d/w%d", rapid.IntRange(0, racks-1).Draw(t, "rack"), rapid.IntRange(0, perRack-1).Draw(t, "worker"))
-		w.AfterFunc(at("cut"), func() { w.cut[addr] = true })
-		w.AfterFunc(at("mended"), func() { delete(w.cut, addr) })
+		addr := fmt.Sprintf("r%d/w%d", rapid.IntRange(0, rackCount-1).Draw(t, "rack"), rapid.IntRange(0, workersPerRack-1).Draw(t, "worker"))
+		w.AfterFunc(at("cut"), func() { w.unreachable[addr] = true })
+		w.AfterFunc(at("mended"), func() { delete(w.unreachable, addr) })
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "moves") {
-		zone := fmt.Sprintf("zr%d", rapid.IntRange(0, racks-1).Draw(t, "zone"))
-		w.AfterFunc(at("out"), func() { w.out[zone] = w.Now() })
-		w.AfterFunc(at("back"), func() { delete(w.out, zone) })
+		zone := fmt.Sprintf("zr%d", rapid.IntRange(0, rackCount-1).Draw(t, "zone"))
+		w.AfterFunc(at("out"), func() { w.evacuatedSince[zone] = w.Now() })
+		w.AfterFunc(at("back"), func() { delete(w.evacuatedSince, zone) })
 	}
 	cancelled := map[string]bool{}
 	if rapid.Bool().Draw(t, "cancel") {
 		id := specs[0].ID
 		cancelled[id] = true
-		w.AfterFunc(at("cancelled"), func() { _ = w.bucket.core.Cancel(w.Now(), id) })
+		w.AfterFunc(at("cancelled"), func() { _ = w.bucketHolder.core.Cancel(w.Now(), id) })
 	}
 	return cancelled
 }
 
-// submit brings a job in again and again until the store holds it, as its user would.
-func (w *world) submit(s jobs.Spec) {
-	if w.job(s.ID) != nil {
+// submitUntilStored brings a job in again and again until the store holds it, as its user would.
+func (w *simulation) submitUntilStored(s jobs.Spec) {
+	if w.storedJob(s.ID) != nil {
 		return
 	}
-	if b := w.bucket; b != nil && !b.dead {
+	if b := w.bucketHolder; b != nil && !b.dead {
 		if err := b.core.Submit(w.Now(), s); err != nil {
-			w.broken("submission: %v", err)
+			w.recordViolation("submission: %v", err)
 		}
 	}
-	w.AfterFunc(step, func() { w.submit(s) })
+	w.AfterFunc(stepInterval, func() { w.submitUntilStored(s) })
 }
 
-// killHolder ends a rack's holder; another follows when its lease has lapsed.
-func (w *world) killHolder(rack string) {
-	h := w.racks[rack]
+// killRackHolder ends a rack's holder; another follows when its lease has lapsed.
+func (w *simulation) killRackHolder(rack string) {
+	h := w.rackHolders[rack]
 	if h.dead {
 		return
 	}
 	h.dead = true
-	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.hold(rack, h.ep+1) })
+	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.startRackHolder(rack, h.epoch+1) })
 }
 
-func (w *world) killBucket() {
-	b := w.bucket
+func (w *simulation) killBucketHolder() {
+	b := w.bucketHolder
 	if b.dead {
 		return
 	}
 	b.dead = true
-	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.holdBucket(b.ep + 1) })
+	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.startBucketHolder(b.epoch + 1) })
 }
 
-// mend ends all faults.
-func (w *world) mend() {
-	w.mess = false
-	clear(w.cut)
-	clear(w.out)
+// endFaults ends all faults.
+func (w *simulation) endFaults() {
+	w.faultsEnabled = false
+	clear(w.unreachable)
+	clear(w.evacuatedSince)
 }
 
-func checkJob(t *rapid.T, w *world, s jobs.Spec, cancelled bool, accepts map[string]int) {
-	j := w.job(s.ID)
+func checkJobEnd(t *rapid.T, w *simulation, s jobs.Spec, cancelled bool, accepts map[string]int) {
+	j := w.storedJob(s.ID)
 	if j == nil {
 		t.Fatalf("job %s is lost", s.ID)
 	}
@@ -153,43 +153,43 @@
 
 // A task is evicted because its failure domain goes out. It must go on elsewhere from
 // its checkpoint, not from its beginning.
-func TestCheckpoint(t *testing.T) {
-	w := newWorld(1)
-	w.submit(jobs.Spec{ID: "audit", Kind: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: 20 * time.Second})
-	w.run(12 * time.Second)
-	for i := range racks {
+func TestEvictionResumesFromCheckpoint(t *testing.T) {
+	w := newSimulation(1)
+	w.submitUntilStored(jobs.Spec{ID: "audit", Kind: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: 20 * time.Second})
+	w.runFor(12 * time.Second)
+	for i := range rackCount {
 		zone := fmt.Sprintf("zr%d", i)
-		for j := range perRack {
+		for j := range workersPerRack {
 			if len(w.workers[fmt.Sprintf("r%d/w%d", i, j)].RunningTasks()) > 0 {
-				w.out[zone] = w.Now()
+				w.evacuatedSince[zone] = w.Now()
 			}
 		}
 	}
-	if len(w.out) != 1 {
-		t.Fatalf("the task runs in %d failure domains", len(w.out))
+	if len(w.evacuatedSince) != 1 {
+		t.Fatalf("the task runs in %d failure domains", len(w.evacuatedSince))
 	}
-	w.run(13 * time.Second)
-	if j := w.job("audit"); w.fault != "" || j.State != jobs.StateDone {
-		t.Errorf("%s; after 25 s of a task of 20 s it is %s", w.fault, j.State)
+	w.runFor(13 * time.Second)
+	if j := w.storedJob("audit"); w.violation != "" || j.State != jobs.StateDone {
+		t.Errorf("%s; after 25 s of a task of 20 s it is %s", w.violation, j.State)
 	}
 }
 
 // A worker fails everything at once, so it is always free. It must rest after a few
 // failures, and no job may be parked for its sake.
-func TestBadWorker(t *testing.T) {
-	w := newWorld(1)
+func TestFailingWorkerCooldown(t *testing.T) {
+	w := newSimulation(1)
 	w.workers["r0/w0"].SetFailing(true)
-	w.submit(jobs.Spec{ID: "books", Kind: "photo", N: 60, Size: wire.Size{CPU: 500, Mem: 500}, Run: 2 * time.Second})
-	w.run(2 * time.Minute)
+	w.submitUntilStored(jobs.Spec{ID: "books", Kind: "photo", N: 60, Size: wire.Size{CPU: 500, Mem: 500}, Run: 2 * time.Second})
+	w.runFor(2 * time.Minute)
 	failed := 0
 	for id := range 200 {
 		for no := range 400 {
 			failed += w.workers["r0/w0"].Starts(fmt.Sprintf("books/%d@%d", id, no))
 		}
 	}
-	j := w.job("books")
-	if w.fault != "" || j.State != jobs.StateDone {
-		t.Errorf("%s; job %s %s, %d done", w.fault, j.State, j.Why, j.Done.Count())
+	j := w.storedJob("books")
+	if w.violation != "" || j.State != jobs.StateDone {
+		t.Errorf("%s; job %s %s, %d done", w.violation, j.State, j.Why, j.Done.Count())
 	}
 	t.Logf("%d of 60 tasks were started on the bad worker", failed)
 }
