--- a/internal/batch/hold/bucket.go
+++ b/internal/batch/hold/bucket.go
@@ -42,7 +42,7 @@
 }
 
 // loadBucket reads a bucket's record and holds it from now on.
-func (h *Holder) loadBucket(ctx context.Context, name string, row shard.Row) {
+func (h *Holder) loadBucket(ctx context.Context, name string, row shard.Assignment) {
 	e, err := h.opts.Store.Get(ctx, bucketKeyPrefix+name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return
@@ -55,17 +55,17 @@
 		}
 	}
 	bctx, cancel := context.WithCancel(ctx)
-	b := &heldBucket{holder: h, name: name, epoch: row.Ep, rev: e.Rev, core: jobs.New(rec, row.Ep),
+	b := &heldBucket{holder: h, name: name, epoch: row.Epoch, rev: e.Rev, core: jobs.New(rec, row.Epoch),
 		changed: make(chan struct{}), cancel: cancel}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if mine, ok := h.opts.Keeper.Mine(BucketTable)[name]; !ok || mine.Ep != row.Ep || h.buckets[name] != nil {
+	if mine, ok := h.opts.Keeper.OwnAssignments(BucketTable)[name]; !ok || mine.Epoch != row.Epoch || h.buckets[name] != nil {
 		cancel()
 		return
 	}
 	h.buckets[name] = b
 	h.wg.Go(func() { b.commitLoop(bctx) })
-	h.opts.Log.V(1).Info("bucket held", "bucket", name, "ep", row.Ep, "jobs", len(rec.Jobs))
+	h.opts.Log.V(1).Info("bucket held", "bucket", name, "ep", row.Epoch, "jobs", len(rec.Jobs))
 }
 
 // close stops the holding; nothing is answered from it any more.
@@ -239,10 +239,10 @@
 	defer b.mu.Unlock()
 	// Sure is asked with the lock held and last: an answer from a holding that has
 	// lapsed would name places that another holder has changed since.
-	if b.closed || !b.holder.opts.Keeper.Sure() {
+	if b.closed || !b.holder.opts.Keeper.Authorized() {
 		return jobs.RackReply{}
 	}
 	return b.core.HandleReport(time.Now(), rep, func(kind string) bool {
-		return kindAllowed(conf, kind, rep.Zone) && conf.Usable(rep.Zone)
+		return kindAllowed(conf, kind, rep.Zone) && conf.IsZoneUsable(rep.Zone)
 	})
 }
--- a/internal/batch/hold/holder.go
+++ b/internal/batch/hold/holder.go
@@ -38,7 +38,7 @@
 type Options struct {
 	Store        store.Store
 	Group        *member.Group
-	Keeper       *shard.Keeper
+	Keeper       *shard.Assigner
 	Links        *link.Set
 	Config       func() sheet.Config
 	ConfigAge    func() time.Duration // of the last confirmation of the configuration
@@ -123,20 +123,20 @@
 
 // reconcile brings what is run here in line with the tables.
 func (h *Holder) reconcile(ctx context.Context) {
-	buckets, racks := h.opts.Keeper.Mine(BucketTable), h.opts.Keeper.Mine(RackTable)
-	if !h.opts.Keeper.Sure() {
+	buckets, racks := h.opts.Keeper.OwnAssignments(BucketTable), h.opts.Keeper.OwnAssignments(RackTable)
+	if !h.opts.Keeper.Authorized() {
 		return // nothing is begun or ended while it isn't certain what is held
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, b := range h.buckets {
-		if r, ok := buckets[name]; !ok || r.Ep != b.epoch {
+		if r, ok := buckets[name]; !ok || r.Epoch != b.epoch {
 			b.close()
 			delete(h.buckets, name)
 		}
 	}
 	for name, r := range h.racks {
-		if row, ok := racks[name]; !ok || row.Ep != r.epoch {
+		if row, ok := racks[name]; !ok || row.Epoch != r.epoch {
 			delete(h.racks, name)
 		}
 	}
@@ -149,7 +149,7 @@
 	for name, row := range racks {
 		// A rack that the host list doesn't name yet stays with its former holder.
 		if zone, ok := zones[name]; ok && h.racks[name] == nil {
-			h.startClaim(ctx, RackTable, name, row, func(_ context.Context, name string, row shard.Row) {
+			h.startClaim(ctx, RackTable, name, row, func(_ context.Context, name string, row shard.Assignment) {
 				h.addRack(name, zone, row)
 			})
 		}
@@ -157,7 +157,7 @@
 }
 
 // startClaim takes an item over in the background; the lock is held.
-func (h *Holder) startClaim(ctx context.Context, table, name string, row shard.Row, take func(context.Context, string, shard.Row)) {
+func (h *Holder) startClaim(ctx context.Context, table, name string, row shard.Assignment, take func(context.Context, string, shard.Assignment)) {
 	key := table + "/" + name
 	if h.claiming[key] {
 		return
@@ -186,8 +186,8 @@
 // themselves; the lease of one that isn't a member has lapsed, and it has stopped by
 // its own clock. All are asked, not only the holder before: when an item moves on
 // quickly, that one may never have taken it over, and the one before it is still at it.
-func (h *Holder) claimItem(ctx context.Context, table, name string, row shard.Row) bool {
-	if row.Was == "" {
+func (h *Holder) claimItem(ctx context.Context, table, name string, row shard.Assignment) bool {
+	if row.FormerHolder == "" {
 		return true
 	}
 	self := h.opts.Group.Self().ID
@@ -196,7 +196,7 @@
 			continue
 		}
 		cctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
-		done, err := link.Call[YieldArgs, bool](cctx, h.opts.Links.Get(m.Addr), "Peer.Yield", YieldArgs{table, name, row.Ep})
+		done, err := link.Call[YieldArgs, bool](cctx, h.opts.Links.Get(m.Addr), "Peer.Yield", YieldArgs{table, name, row.Epoch})
 		cancel()
 		if err != nil || !done {
 			return false
@@ -207,7 +207,7 @@
 
 // HandleYield answers a claim.
 func (h *Holder) HandleYield(in YieldArgs) bool {
-	h.opts.Keeper.Yield(in.Table, in.Item, in.Ep)
+	h.opts.Keeper.YieldItem(in.Table, in.Item, in.Ep)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch in.Table {
@@ -246,13 +246,13 @@
 
 // kindAllowed reports whether a kind of job may use a failure domain.
 func kindAllowed(c sheet.Config, kind, zone string) bool {
-	j, ok := c.Sheet().Kind(kind)
+	j, ok := c.Sheet().FindJobKind(kind)
 	return ok && slices.Contains(j.Zones, zone)
 }
 
 // bucketHolder returns the member that holds a bucket.
 func (h *Holder) bucketHolder(bucket string) (member.Member, bool) {
-	return h.opts.Group.View().Get(h.opts.Keeper.Holder(BucketTable, bucket))
+	return h.opts.Group.View().Get(h.opts.Keeper.HolderOf(BucketTable, bucket))
 }
 
 // SubmitArgs carries a job to its bucket's holder, or with Cancel set its id.
@@ -327,7 +327,7 @@
 	if err := s.Validate(); err != nil {
 		return err
 	}
-	if _, ok := h.opts.Config().Sheet().Kind(s.Kind); !ok {
+	if _, ok := h.opts.Config().Sheet().FindJobKind(s.Kind); !ok {
 		return errors.Wrap(jobs.ErrInvalidSpec, fmt.Sprintf("kind: %q is not declared in the sheet in force", s.Kind))
 	}
 	return nil
--- a/internal/batch/hold/holder_test.go
+++ b/internal/batch/hold/holder_test.go
@@ -33,10 +33,10 @@
 		LeaseTTL: time.Hour, WatchTimeout: time.Minute, HeartbeatInterval: time.Minute, HeartbeatTimeout: time.Minute, Log: logr.Discard(),
 		OnJoin: func() { joined <- struct{}{} },
 	})
-	keeper := shard.NewKeeper(shard.Options{
-		Store: s, Group: group, Wait: time.Minute, Log: logr.Discard(),
-		Items:   func() map[string][]shard.Item { return nil },
-		Changed: func(string, shard.Table) {},
+	keeper := shard.NewAssigner(shard.Options{
+		Store: s, Group: group, WatchTimeout: time.Minute, Log: logr.Discard(),
+		ListItems:     func() map[string][]shard.Item { return nil },
+		OnTableChange: func(string, shard.Table) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -46,14 +46,14 @@
 	}()
 	t.Cleanup(func() { cancel(); <-done })
 	<-joined
-	value, err := json.Marshal(shard.Table{ID: "1", Seq: 1, Rows: map[string]shard.Row{"rack0": {By: "e0", Ep: 1}}})
+	value, err := json.Marshal(shard.Table{WriteID: "1", LastEpoch: 1, Assignments: map[string]shard.Assignment{"rack0": {Holder: "e0", Epoch: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Swap(ctx, "assign/"+RackTable, value, 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := keeper.Refresh(ctx); err != nil {
+	if err := keeper.ReadTables(ctx); err != nil {
 		t.Fatal(err)
 	}
 	return New(Options{
--- a/internal/batch/hold/rack.go
+++ b/internal/batch/hold/rack.go
@@ -28,14 +28,14 @@
 }
 
 // addRack holds a rack from now on; its workers are fenced one by one.
-func (h *Holder) addRack(name, zone string, row shard.Row) {
-	r := &heldRack{name: name, epoch: row.Ep, waitingTasks: map[string]int{}, urgentTasks: map[string]int{}, polling: map[string]bool{},
-		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Epoch: row.Ep, LeaseTTL: h.opts.LeaseTTL, MaxConfigAge: h.opts.MaxConfigAge, BucketOf: h.BucketOf})}
+func (h *Holder) addRack(name, zone string, row shard.Assignment) {
+	r := &heldRack{name: name, epoch: row.Epoch, waitingTasks: map[string]int{}, urgentTasks: map[string]int{}, polling: map[string]bool{},
+		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Epoch: row.Epoch, LeaseTTL: h.opts.LeaseTTL, MaxConfigAge: h.opts.MaxConfigAge, BucketOf: h.BucketOf})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if mine, ok := h.opts.Keeper.Mine(RackTable)[name]; ok && mine.Ep == row.Ep && h.racks[name] == nil {
+	if mine, ok := h.opts.Keeper.OwnAssignments(RackTable)[name]; ok && mine.Epoch == row.Epoch && h.racks[name] == nil {
 		h.racks[name] = r
-		h.opts.Log.Info("rack held", "rack", name, "zone", zone, "ep", row.Ep)
+		h.opts.Log.Info("rack held", "rack", name, "zone", zone, "ep", row.Epoch)
 	}
 }
 
@@ -57,7 +57,7 @@
 
 // tickRacks lets each rack's core do what is due and carries it out.
 func (h *Holder) tickRacks(ctx context.Context) {
-	if !h.opts.Keeper.Sure() {
+	if !h.opts.Keeper.Authorized() {
 		return
 	}
 	now := time.Now()
@@ -72,7 +72,7 @@
 	for _, r := range h.heldRacks() {
 		r.mu.Lock()
 		r.core.SetWorkers(byRack[r.name])
-		actions := r.core.Tick(now, rack.ZoneStatus{Usable: conf.Usable(r.core.Zone()), ConfirmedAt: confirmed})
+		actions := r.core.Tick(now, rack.ZoneStatus{Usable: conf.IsZoneUsable(r.core.Zone()), ConfirmedAt: confirmed})
 		r.mu.Unlock()
 		for _, a := range actions {
 			h.wg.Go(func() { h.execute(ctx, r, a) })
@@ -155,13 +155,13 @@
 
 // syncRacks lets the racks report to the holders of all buckets.
 func (h *Holder) syncRacks(ctx context.Context) {
-	if !h.opts.Keeper.Sure() {
+	if !h.opts.Keeper.Authorized() {
 		return
 	}
 	byHolder := map[string][]string{}
 	for i := range h.opts.BucketCount {
 		name := BucketName(i)
-		if id := h.opts.Keeper.Holder(BucketTable, name); id != "" {
+		if id := h.opts.Keeper.HolderOf(BucketTable, name); id != "" {
 			byHolder[id] = append(byHolder[id], name)
 		}
 	}
--- a/internal/ctrl/shard/plan_test.go
+++ b/internal/ctrl/shard/plan_test.go
@@ -36,15 +36,15 @@
 // Processes come and go in any order. What a user would see of a bad plan: targets
 // that nobody holds answer nothing, an uneven share makes one process slow, and an
 // epoch used twice lets a former holder's commands pass the fence.
-func TestPlan(t *testing.T) {
+func TestPlanTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 9, rapid.ID[int]).Draw(t, "live")
 			its := items(rapid.IntRange(0, 60).Draw(t, "items"))
-			next, _ := Plan(table, its, member.NewView(1, members(ids...)...))
+			next, _ := PlanTable(table, its, member.NewView(1, members(ids...)...))
 			checkPlan(t, table, next, its, ids)
-			again, changed := Plan(next, its, member.NewView(1, members(ids...)...))
+			again, changed := PlanTable(next, its, member.NewView(1, members(ids...)...))
 			if changed {
 				t.Fatalf("a second plan moves items again: %v to %v", next, again)
 			}
@@ -56,13 +56,13 @@
 func checkPlan(t *rapid.T, old, next Table, its []Item, ids []int) {
 	count := map[string]int{}
 	for _, it := range its {
-		r := next.Rows[it.Name]
-		if !slices.ContainsFunc(ids, func(i int) bool { return fmt.Sprintf("e%d", i) == r.By }) {
-			t.Fatalf("%s is held by %q, which isn't live", it.Name, r.By)
+		r := next.Assignments[it.Name]
+		if !slices.ContainsFunc(ids, func(i int) bool { return fmt.Sprintf("e%d", i) == r.Holder }) {
+			t.Fatalf("%s is held by %q, which isn't live", it.Name, r.Holder)
 		}
-		count[r.By]++
-		if before := old.Rows[it.Name]; before.By != r.By && (r.Ep <= old.Seq || r.Was != before.By) {
-			t.Fatalf("%s moved from %+v to %+v with highest epoch %d", it.Name, before, r, old.Seq)
+		count[r.Holder]++
+		if before := old.Assignments[it.Name]; before.Holder != r.Holder && (r.Epoch <= old.LastEpoch || r.FormerHolder != before.Holder) {
+			t.Fatalf("%s moved from %+v to %+v with highest epoch %d", it.Name, before, r, old.LastEpoch)
 		}
 	}
 	low, high := len(its), 0
@@ -77,13 +77,13 @@
 
 // One process of nine dies: only its items may move, or the death of one process
 // would disturb the requests at all targets.
-func TestPlanMovesFew(t *testing.T) {
+func TestPlanTableMovesFewItems(t *testing.T) {
 	all := member.NewView(1, members(0, 1, 2, 3, 4, 5, 6, 7, 8)...)
-	table, _ := Plan(Table{}, items(50), all)
-	next, _ := Plan(table, items(50), member.NewView(2, members(0, 1, 2, 3, 5, 6, 7, 8)...))
-	for k, r := range next.Rows {
-		if was := table.Rows[k]; was.By != "e4" && was.By != r.By {
-			t.Errorf("%s moved from %s to %s though its holder lives", k, was.By, r.By)
+	table, _ := PlanTable(Table{}, items(50), all)
+	next, _ := PlanTable(table, items(50), member.NewView(2, members(0, 1, 2, 3, 5, 6, 7, 8)...))
+	for k, r := range next.Assignments {
+		if was := table.Assignments[k]; was.Holder != "e4" && was.Holder != r.Holder {
+			t.Errorf("%s moved from %s to %s though its holder lives", k, was.Holder, r.Holder)
 		}
 	}
 }
@@ -93,10 +93,10 @@
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			its := items(n)
-			table, _ := Plan(Table{}, its, member.NewView(1, members(0, 1, 2, 3, 4, 5, 6, 7, 8)...))
+			table, _ := PlanTable(Table{}, its, member.NewView(1, members(0, 1, 2, 3, 4, 5, 6, 7, 8)...))
 			view := member.NewView(2, members(0, 1, 2, 3, 5, 6, 7, 8)...)
 			for b.Loop() {
-				Plan(table, its, view)
+				PlanTable(table, its, view)
 			}
 		})
 	}
--- a/internal/ctrl/sheet/log_test.go
+++ b/internal/ctrl/sheet/log_test.go
@@ -2,4 +2,4 @@
 
 import "github.com/go-logr/logr"
 
-func nopLog() logr.Logger { return logr.Discard() }
+func discardLog() logr.Logger { return logr.Discard() }
--- a/internal/ctrl/sheet/sheet.go
+++ b/internal/ctrl/sheet/sheet.go
@@ -14,7 +14,7 @@
 	Base    uint64    `toml:"base"` // number of the configuration that it was drawn from
 	Zone    []Zone    `toml:"zone"`
 	Service []Service `toml:"service"`
-	Job     []Job     `toml:"job"`
+	Job     []JobKind `toml:"job"`
 	Team    []Team    `toml:"team"`
 }
 
@@ -34,8 +34,8 @@
 	Leaving []string      `toml:"leaving"`
 }
 
-// Job declares a kind of batch work and the failure domains that it may use.
-type Job struct {
+// JobKind declares a kind of batch work and the failure domains that it may use.
+type JobKind struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
 	Team  string   `toml:"team"`
@@ -48,87 +48,87 @@
 }
 
 const (
-	defaultSlots   = 8
-	defaultConns   = 60
-	defaultTimeout = 10 * time.Second
-	defaultWait    = 500 * time.Millisecond
+	defaultSlots    = 8
+	defaultMaxConns = 60
+	defaultTimeout  = 10 * time.Second
+	defaultMaxWait  = 500 * time.Millisecond
 )
 
 // Parse reads and checks the text of a sheet; the error is conf.Faults.
 func Parse(text string) (Sheet, error) {
 	var s Sheet
 	faults := conf.Decode(text, &s)
-	s.fill()
-	faults = append(faults, s.check(text)...)
+	s.applyDefaults()
+	faults = append(faults, s.validate(text)...)
 	if len(faults) > 0 {
 		return Sheet{}, faults
 	}
 	return s, nil
 }
 
-func (s *Sheet) fill() {
+func (s *Sheet) applyDefaults() {
 	for i := range s.Service {
 		v := &s.Service[i]
 		if v.Slots == 0 {
 			v.Slots = defaultSlots
 		}
 		if v.Conns == 0 {
-			v.Conns = defaultConns
+			v.Conns = defaultMaxConns
 		}
 		if v.Timeout == 0 {
 			v.Timeout = defaultTimeout
 		}
 		if v.Wait == 0 {
-			v.Wait = defaultWait
+			v.Wait = defaultMaxWait
 		}
 	}
 }
 
-func (s Sheet) check(text string) conf.Errors {
-	c := checker{text: text, zones: map[string]bool{}, seen: map[string]bool{}}
+func (s Sheet) validate(text string) conf.Errors {
+	c := validator{text: text, declaredZones: map[string]bool{}, declared: map[string]bool{}}
 	if len(s.Zone) == 0 {
-		c.fault("zone", "", "the sheet declares no failure domain; an empty or truncated sheet changes nothing")
+		c.addError("zone", "", "the sheet declares no failure domain; an empty or truncated sheet changes nothing")
 	}
 	for _, z := range s.Zone {
-		c.name("zone", z.Name)
-		c.zones[z.Name] = true
+		c.checkName("zone", z.Name)
+		c.declaredZones[z.Name] = true
 	}
 	for _, v := range s.Service {
-		c.name("service", v.Name)
-		c.uses("service", v.Name, v.Zones)
+		c.checkName("service", v.Name)
+		c.checkZones("service", v.Name, v.Zones)
 		if v.Slots < 0 || v.Conns < v.Slots {
-			c.fault("service", v.Name, fmt.Sprintf("slots %d and conns %d: conns must be at least slots, both above 0", v.Slots, v.Conns))
+			c.addError("service", v.Name, fmt.Sprintf("slots %d and conns %d: conns must be at least slots, both above 0", v.Slots, v.Conns))
 		}
 		if v.Timeout < 0 || v.Wait < 0 {
-			c.fault("service", v.Name, "timeout and wait must be above 0")
+			c.addError("service", v.Name, "timeout and wait must be above 0")
 		}
 	}
 	for _, j := range s.Job {
-		c.name("job", j.Name)
-		c.uses("job", j.Name, j.Zones)
+		c.checkName("job", j.Name)
+		c.checkZones("job", j.Name, j.Zones)
 	}
 	for _, t := range s.Team {
-		c.name("team", t.Name)
+		c.checkName("team", t.Name)
 		if t.Quota < 0 {
-			c.fault("team", t.Name, "quota must not be below 0")
+			c.addError("team", t.Name, "quota must not be below 0")
 		}
 	}
-	return c.faults
+	return c.errs
 }
 
-type checker struct {
-	text   string
-	zones  map[string]bool
-	seen   map[string]bool
-	faults conf.Errors
+type validator struct {
+	text          string
+	declaredZones map[string]bool
+	declared      map[string]bool
+	errs          conf.Errors
 }
 
-func (c *checker) fault(kind, name, why string) {
-	c.faults = append(c.faults, fmt.Sprintf("line %d: %s %q: %s", c.line(kind, name), kind, name, why))
+func (c *validator) addError(kind, name, why string) {
+	c.errs = append(c.errs, fmt.Sprintf("line %d: %s %q: %s", c.lineOf(kind, name), kind, name, why))
 }
 
-// line finds the line that names the thing, or its table's first line.
-func (c *checker) line(kind, name string) int {
+// lineOf finds the lineOf that names the thing, or its table's first lineOf.
+func (c *validator) lineOf(kind, name string) int {
 	if name != "" {
 		for i, l := range strings.Split(c.text, "\n") {
 			if strings.Contains(l, `"`+name+`"`) && strings.HasPrefix(strings.TrimSpace(l), "name") {
@@ -139,31 +139,31 @@
 	return conf.LineOfKey(c.text, kind)
 }
 
-func (c *checker) name(kind, name string) {
+func (c *validator) checkName(kind, name string) {
 	switch {
 	case name == "":
-		c.fault(kind, name, "name is missing")
+		c.addError(kind, name, "name is missing")
 	case strings.ContainsAny(name, "/ \t\n"):
-		c.fault(kind, name, "a name has no spaces and no slash")
-	case c.seen[kind+"/"+name]:
-		c.fault(kind, name, "declared twice")
+		c.addError(kind, name, "a name has no spaces and no slash")
+	case c.declared[kind+"/"+name]:
+		c.addError(kind, name, "declared twice")
 	}
-	c.seen[kind+"/"+name] = true
+	c.declared[kind+"/"+name] = true
 }
 
-func (c *checker) uses(kind, name string, zones []string) {
+func (c *validator) checkZones(kind, name string, zones []string) {
 	if len(zones) == 0 {
-		c.fault(kind, name, "zones is missing: name the failure domains that it may use")
+		c.addError(kind, name, "zones is missing: name the failure domains that it may use")
 	}
 	for _, z := range zones {
-		if !c.zones[z] {
-			c.fault(kind, name, fmt.Sprintf("zones: %q is not declared", z))
+		if !c.declaredZones[z] {
+			c.addError(kind, name, fmt.Sprintf("zones: %q is not declared", z))
 		}
 	}
 }
 
-// Find returns the service with the name.
-func (s Sheet) Find(service string) (Service, bool) {
+// FindService returns the service with the name.
+func (s Sheet) FindService(service string) (Service, bool) {
 	i := slices.IndexFunc(s.Service, func(v Service) bool { return v.Name == service })
 	if i < 0 {
 		return Service{}, false
@@ -171,11 +171,11 @@
 	return s.Service[i], true
 }
 
-// Kind returns the declaration of a kind of job.
-func (s Sheet) Kind(job string) (Job, bool) {
-	i := slices.IndexFunc(s.Job, func(j Job) bool { return j.Name == job })
+// FindJobKind returns the declaration of a kind of job.
+func (s Sheet) FindJobKind(job string) (JobKind, bool) {
+	i := slices.IndexFunc(s.Job, func(j JobKind) bool { return j.Name == job })
 	if i < 0 {
-		return Job{}, false
+		return JobKind{}, false
 	}
 	return s.Job[i], true
 }
--- a/internal/ctrl/sheet/sheet_test.go
+++ b/internal/ctrl/sheet/sheet_test.go
@@ -16,7 +16,7 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-func example(t testing.TB, name string) string {
+func readExample(t testing.TB, name string) string {
 	t.Helper()
 	data, err := os.ReadFile("../../../examples/" + name)
 	if err != nil {
@@ -26,7 +26,7 @@
 }
 
 // A sheet with several mistakes: all of them must be named, each with its line.
-func TestFaults(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	_, err := Parse(`base = 0
 colour = "red"
 [[zone]]
@@ -49,7 +49,7 @@
 	goldie.New(t).Assert(t, "faults", []byte(err.Error()))
 }
 
-func newStore(t *testing.T) store.Store {
+func newTestStore(t *testing.T) store.Store {
 	t.Helper()
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
@@ -58,54 +58,54 @@
 
 // The planners' sheet was drawn before an operator took a domain out. It must not bring
 // the domain back; an empty or shrunken sheet must change nothing either.
-func TestPut(t *testing.T) {
+func TestPutSheet(t *testing.T) {
 	ctx := context.Background()
-	s := newStore(t)
+	s := newTestStore(t)
 	for _, name := range []string{"association.sheet.toml", "wildheart.sheet.toml"} {
-		if _, err := Parse(example(t, name)); err != nil {
+		if _, err := Parse(readExample(t, name)); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	text := example(t, "association.sheet.toml")
-	if c, err := Put(ctx, s, text, false); err != nil || c.Num != 1 {
-		t.Fatalf("first sheet: %d, %v", c.Num, err)
+	text := readExample(t, "association.sheet.toml")
+	if c, err := PutSheet(ctx, s, text, false); err != nil || c.Version != 1 {
+		t.Fatalf("first sheet: %d, %v", c.Version, err)
 	}
-	if c, err := Move(ctx, s, "heredia", true); err != nil || c.Usable("heredia") {
+	if c, err := SetZoneEvacuated(ctx, s, "heredia", true); err != nil || c.IsZoneUsable("heredia") {
 		t.Fatalf("domain out: %v", err)
 	}
-	if _, err := Put(ctx, s, text, false); !errors.Is(err, ErrConflict) {
+	if _, err := PutSheet(ctx, s, text, false); !errors.Is(err, ErrConflict) {
 		t.Errorf("a sheet from before: %v", err)
 	}
-	if _, err := Put(ctx, s, "", false); err == nil {
+	if _, err := PutSheet(ctx, s, "", false); err == nil {
 		t.Error("an empty sheet is accepted")
 	}
 	small := "base = 2\n[[zone]]\nname = \"heredia\"\n"
-	if _, err := Put(ctx, s, small, false); !errors.Is(err, ErrShrunken) {
+	if _, err := PutSheet(ctx, s, small, false); !errors.Is(err, ErrUnconfirmedRemoval) {
 		t.Errorf("a shrunken sheet: %v", err)
 	}
-	if c, err := Put(ctx, s, small, true); err != nil || c.Usable("heredia") {
+	if c, err := PutSheet(ctx, s, small, true); err != nil || c.IsZoneUsable("heredia") {
 		t.Errorf("confirmed: %v; a sheet brings no domain back", err)
 	}
-	if _, err := Move(ctx, s, "nowhere", true); !errors.Is(err, ErrZone) {
+	if _, err := SetZoneEvacuated(ctx, s, "nowhere", true); !errors.Is(err, ErrUnknownZone) {
 		t.Errorf("an unknown domain: %v", err)
 	}
 }
 
 // An old answer arrives late, after a newer configuration was seen.
-func TestNoRevert(t *testing.T) {
-	f := NewFeed(nil, 0, func(Config) {}, nopLog())
+func TestOlderConfigIgnored(t *testing.T) {
+	f := NewConfigWatcher(nil, 0, func(Config) {}, discardLog())
 	page := func(num string) store.Listing {
-		return store.Listing{Rev: 9, Entries: []store.Entry{{Key: key, Value: []byte(`{"num":` + num + `}`)}}}
+		return store.Listing{Rev: 9, Entries: []store.Entry{{Key: configKey, Value: []byte(`{"num":` + num + `}`)}}}
 	}
-	f.take(page("5"), time.Now(), true)
-	f.take(page("4"), time.Now(), true)
-	if f.Now().Num != 5 {
-		t.Errorf("configuration %d after 5 was seen", f.Now().Num)
+	f.applyListing(page("5"), time.Now(), true)
+	f.applyListing(page("4"), time.Now(), true)
+	if f.Current().Version != 5 {
+		t.Errorf("configuration %d after 5 was seen", f.Current().Version)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(example(f, "association.sheet.toml"))
+	f.Add(readExample(f, "association.sheet.toml"))
 	f.Add("[[zone]]\nname = 1")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse(text)
@@ -117,33 +117,33 @@
 
 // A second configuration is read while the first is still being put in force. Put in force
 // one after the other but in the wrong order, the older one would stay.
-func TestFeedOrder(t *testing.T) {
+func TestChangeOrder(t *testing.T) {
 	ctx := context.Background()
-	s := newStore(t)
+	s := newTestStore(t)
 	read := func() store.Listing {
-		p, err := s.List(ctx, key, 0, 0)
+		p, err := s.List(ctx, configKey, 0, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return p
 	}
-	if _, err := Put(ctx, s, example(t, "association.sheet.toml"), false); err != nil {
+	if _, err := PutSheet(ctx, s, readExample(t, "association.sheet.toml"), false); err != nil {
 		t.Fatal(err)
 	}
 	first := read()
-	if _, err := Move(ctx, s, "heredia", true); err != nil {
+	if _, err := SetZoneEvacuated(ctx, s, "heredia", true); err != nil {
 		t.Fatal(err)
 	}
 	second := read()
-	var f *Feed
+	var f *ConfigWatcher
 	var inForce []uint64
-	f = NewFeed(s, 0, func(c Config) {
-		if c.Num == 1 {
-			f.take(second, time.Now(), true)
+	f = NewConfigWatcher(s, 0, func(c Config) {
+		if c.Version == 1 {
+			f.applyListing(second, time.Now(), true)
 		}
-		inForce = append(inForce, c.Num)
+		inForce = append(inForce, c.Version)
 	}, logr.Discard())
-	f.take(first, time.Now(), true)
+	f.applyListing(first, time.Now(), true)
 	if !slices.Equal(inForce, []uint64{1, 2}) {
 		t.Errorf("put in force: %v", inForce)
 	}
--- a/internal/proc/demo/demo.go
+++ b/internal/proc/demo/demo.go
@@ -111,7 +111,7 @@
 	if err := d.startHosts(); err != nil {
 		return err
 	}
-	if _, err := sheet.Put(ctx, d.client, sheetText, false); err != nil {
+	if _, err := sheet.PutSheet(ctx, d.client, sheetText, false); err != nil {
 		return err
 	}
 	for i := range entries {
--- a/internal/proc/demo/play.go
+++ b/internal/proc/demo/play.go
@@ -115,7 +115,7 @@
 }
 
 func (d *Demo) domainOut(ctx context.Context) error {
-	if _, err := sheet.Move(ctx, d.client, zones[1], true); err != nil {
+	if _, err := sheet.SetZoneEvacuated(ctx, d.client, zones[1], true); err != nil {
 		return err
 	}
 	if err := d.until(ctx, "no task left there", func() bool { return d.running(1) == 0 }); err != nil {
@@ -131,7 +131,7 @@
 }
 
 func (d *Demo) domainBack(ctx context.Context) error {
-	if _, err := sheet.Move(ctx, d.client, zones[1], false); err != nil {
+	if _, err := sheet.SetZoneEvacuated(ctx, d.client, zones[1], false); err != nil {
 		return err
 	}
 	return d.more(ctx, 100)
--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -98,9 +98,9 @@
 		answer(w, http.StatusBadRequest, Problem{AdminInvalid, strings.Join(faults, "\n")})
 	case errors.Is(err, sheet.ErrConflict):
 		answer(w, http.StatusConflict, Problem{AdminConflict, err.Error()})
-	case errors.Is(err, sheet.ErrShrunken):
+	case errors.Is(err, sheet.ErrUnconfirmedRemoval):
 		answer(w, http.StatusConflict, Problem{AdminShrunken, err.Error()})
-	case errors.Is(err, sheet.ErrZone):
+	case errors.Is(err, sheet.ErrUnknownZone):
 		answer(w, http.StatusNotFound, Problem{AdminZone, err.Error()})
 	case errors.Is(err, store.ErrOutcomeUnknown):
 		answer(w, http.StatusServiceUnavailable, Problem{AdminStore, "the platform's store did not answer; read back before trying again: " + err.Error()})
@@ -116,12 +116,12 @@
 }
 
 func (n *Node) getSheet(w http.ResponseWriter, r *http.Request) {
-	c, err := sheet.Load(r.Context(), n.store)
+	c, err := sheet.LoadConfig(r.Context(), n.store)
 	if err != nil {
 		problem(w, err)
 		return
 	}
-	answer(w, http.StatusOK, configView{c.Num, c.Out, c.Text})
+	answer(w, http.StatusOK, configView{c.Version, c.EvacuatedZones, c.SheetText})
 }
 
 func (n *Node) putSheet(w http.ResponseWriter, r *http.Request) {
@@ -133,13 +133,13 @@
 		answer(w, http.StatusBadRequest, Problem{AdminInvalid, err.Error()})
 		return
 	}
-	c, err := sheet.Put(r.Context(), n.store, in.Text, in.Confirm)
+	c, err := sheet.PutSheet(r.Context(), n.store, in.Text, in.Confirm)
 	if err != nil {
 		problem(w, err)
 		return
 	}
-	n.feed.Adopt(c)
-	answer(w, http.StatusOK, configView{c.Num, c.Out, c.Text})
+	n.feed.ApplyWritten(c)
+	answer(w, http.StatusOK, configView{c.Version, c.EvacuatedZones, c.SheetText})
 }
 
 func (n *Node) moveZone(w http.ResponseWriter, r *http.Request) {
@@ -148,13 +148,13 @@
 		answer(w, http.StatusNotFound, Problem{AdminInvalid, "a failure domain goes out or back"})
 		return
 	}
-	c, err := sheet.Move(r.Context(), n.store, chi.URLParam(r, "zone"), move == "out")
+	c, err := sheet.SetZoneEvacuated(r.Context(), n.store, chi.URLParam(r, "zone"), move == "out")
 	if err != nil {
 		problem(w, err)
 		return
 	}
-	n.feed.Adopt(c)
-	answer(w, http.StatusOK, configView{c.Num, c.Out, c.Text})
+	n.feed.ApplyWritten(c)
+	answer(w, http.StatusOK, configView{c.Version, c.EvacuatedZones, c.SheetText})
 }
 
 // submitTimeout is how long a submission waits for the store.
@@ -235,14 +235,14 @@
 }
 
 func (n *Node) status(w http.ResponseWriter, _ *http.Request) {
-	view, c := n.group.View(), n.feed.Now()
-	s := Status{Node: n.id, Zone: n.s.Zone, Ready: n.Ready(), Sure: n.keeper.Sure(), Epoch: view.Epoch(),
-		Config: c.Num, Services: map[string]ServiceStatus{}}
+	view, c := n.group.View(), n.feed.Current()
+	s := Status{Node: n.id, Zone: n.s.Zone, Ready: n.Ready(), Sure: n.keeper.Authorized(), Epoch: view.Epoch(),
+		Config: c.Version, Services: map[string]ServiceStatus{}}
 	s.Racks, s.Buckets = n.holder.HeldNames()
 	for _, m := range view.Members() {
 		s.Members = append(s.Members, m.ID)
 	}
-	for zone := range c.Out {
+	for zone := range c.EvacuatedZones {
 		s.Out = append(s.Out, zone)
 	}
 	for name, rt := range n.routes.all() {
--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -36,8 +36,8 @@
 	links *link.Set
 
 	group  *member.Group
-	keeper *shard.Keeper
-	feed   *sheet.Feed
+	keeper *shard.Assigner
+	feed   *sheet.ConfigWatcher
 	hosts  hostList
 	homes  *once.Registry
 	relay  *relay.Relay
@@ -133,14 +133,14 @@
 		CurrentLoad:       n.loads,
 		OnPeerLoad:        n.heard,
 	})
-	n.keeper = shard.NewKeeper(shard.Options{
-		Store: n.store, Group: n.group, Wait: n.s.Store.WatchTimeout, Items: n.items, Changed: n.tableChanged, Log: n.log,
+	n.keeper = shard.NewAssigner(shard.Options{
+		Store: n.store, Group: n.group, WatchTimeout: n.s.Store.WatchTimeout, ListItems: n.items, OnTableChange: n.tableChanged, Log: n.log,
 	})
-	n.feed = sheet.NewFeed(n.store, n.s.Store.WatchTimeout, n.configChanged, n.log)
+	n.feed = sheet.NewConfigWatcher(n.store, n.s.Store.WatchTimeout, n.configChanged, n.log)
 	n.homes = once.NewRegistry(once.NewTable(n.s.Limit.RequestIDRetention), n.group, n.links, n.s.Peer.Timeout, n.log)
 	n.holder = hold.New(hold.Options{
 		Store: n.store, Group: n.group, Keeper: n.keeper, Links: n.links,
-		Config: n.feed.Now, ConfigAge: n.feed.Age, Hosts: n.hosts.now,
+		Config: n.feed.Current, ConfigAge: n.feed.ConfirmationAge, Hosts: n.hosts.now,
 		BucketCount: n.s.Worker.Buckets, LeaseTTL: n.s.Worker.LeaseTTL, PollInterval: n.s.Worker.PollInterval, MaxConfigAge: n.s.Worker.MaxConfigAge,
 		CallTimeout: n.s.Peer.Timeout, Log: n.log, Scope: n.scope,
 	})
@@ -189,7 +189,7 @@
 
 // Ready reports whether the balancer should send requests here.
 func (n *Node) Ready() bool {
-	return !n.stopping.Load() && n.keeper.Sure() && n.feed.Now().Num > 0
+	return !n.stopping.Load() && n.keeper.Authorized() && n.feed.Current().Version > 0
 }
 
 // Stop ends the process gracefully: readiness goes first; while the balancer still
--- a/internal/proc/node/routes.go
+++ b/internal/proc/node/routes.go
@@ -79,7 +79,7 @@
 		rt.broker.SetLimits(v.Timeout, v.Wait, share(v, len(r.view.Members())))
 	}
 	for name, rt := range r.list {
-		_, ok := s.Find(name)
+		_, ok := s.FindService(name)
 		rt.gone = !ok
 	}
 }
@@ -93,9 +93,9 @@
 		Group:          r.n.group,
 		Links:          r.n.links,
 		RPCTimeout:     r.n.s.Peer.Timeout,
-		OwnershipValid: r.n.keeper.Sure,
+		OwnershipValid: r.n.keeper.Authorized,
 		Authorized:     r.n.group.Authorized,
-		Owner:          func(target string) string { return r.n.keeper.Holder(slotTable+name, target) },
+		Owner:          func(target string) string { return r.n.keeper.HolderOf(slotTable+name, target) },
 		Probe:          r.n.probe,
 		Log:            r.n.log,
 		Seed:           h.Sum64(),
@@ -137,7 +137,7 @@
 func (n *Node) configChanged(c sheet.Config) {
 	n.routes.apply(c)
 	n.follow()
-	n.keeper.Nudge()
+	n.keeper.WakePlanner()
 }
 
 func (n *Node) viewChanged(v member.View) {
@@ -151,7 +151,7 @@
 	ctx := n.routes.ctx
 	n.routes.wg.Go(func() { n.homes.SyncView(ctx, v) })
 	n.routes.mu.Unlock()
-	n.keeper.Nudge()
+	n.keeper.WakePlanner()
 }
 
 // joined reads the tables anew, as others may have taken over what this process held.
@@ -161,7 +161,7 @@
 	}
 	ctx, cancel := context.WithTimeout(n.routes.ctx, n.s.Store.Timeout)
 	defer cancel()
-	if err := n.keeper.Refresh(ctx); err != nil {
+	if err := n.keeper.ReadTables(ctx); err != nil {
 		n.log.Info("tables not read", "err", err.Error())
 	}
 }
@@ -172,10 +172,10 @@
 
 // follow brings what the brokers hold in line with tables, host list and configuration.
 func (n *Node) follow() {
-	c := n.feed.Now()
+	c := n.feed.Current()
 	list := n.hosts.now()
 	for name, rt := range n.routes.all() {
-		mine := n.keeper.Mine(slotTable + name)
+		mine := n.keeper.OwnAssignments(slotTable + name)
 		if mine == nil {
 			continue
 		}
@@ -197,7 +197,7 @@
 			continue
 		}
 		ok[h.Addr] = h.State == hosts.StateLive && slices.Contains(v.Zones, h.Zone) &&
-			c.Usable(h.Zone) && !slices.Contains(v.Leaving, h.Addr)
+			c.IsZoneUsable(h.Zone) && !slices.Contains(v.Leaving, h.Addr)
 	}
 	return ok
 }
--- a/internal/proc/tool/admin.go
+++ b/internal/proc/tool/admin.go
@@ -173,7 +173,7 @@
 					if err != nil {
 						return err
 					}
-					_, err = io.WriteString(out, sheet.Diff(v.Text, text))
+					_, err = io.WriteString(out, sheet.DiffLines(v.Text, text))
 					return err
 				},
 			},
--- a/internal/route/broker/broker_test.go
+++ b/internal/route/broker/broker_test.go
@@ -25,7 +25,7 @@
 		Probe:          func(string) (bool, int, bool) { return true, 0, false },
 		Log:            logr.Discard(),
 	})
-	b.TakeOverAssigned(t.Context(), map[string]shard.Row{"t00": {Ep: 1}}, 4)
+	b.TakeOverAssigned(t.Context(), map[string]shard.Assignment{"t00": {Epoch: 1}}, 4)
 	ended, end := context.WithCancel(t.Context())
 	end()
 	b.Run(ended) // until the target is owned
--- a/internal/route/broker/claim.go
+++ b/internal/route/broker/claim.go
@@ -15,7 +15,7 @@
 
 // TakeOverAssigned brings what is owned here in line with the table: it takes over the targets
 // that are new here, from their previous holder where that is alive.
-func (b *Broker) TakeOverAssigned(ctx context.Context, mine map[string]shard.Row, slots int) {
+func (b *Broker) TakeOverAssigned(ctx context.Context, mine map[string]shard.Assignment, slots int) {
 	owned := map[string]bool{}
 	for _, t := range b.Targets() {
 		owned[t.Addr] = true
@@ -24,14 +24,14 @@
 		b.mu.Lock()
 		ep, under := b.claims[addr]
 		// A table from before a target was given away would take it back.
-		start := !owned[addr] && row.Ep >= b.epochs[addr] && (!under || ep < row.Ep)
+		start := !owned[addr] && row.Epoch >= b.epochs[addr] && (!under || ep < row.Epoch)
 		if start {
-			if row.Was == "" && row.Ep == b.epochs[addr] {
+			if row.FormerHolder == "" && row.Epoch == b.epochs[addr] {
 				// Taken over by this row before, and given up: there may be requests from then.
-				row.Was = b.core.Self()
+				row.FormerHolder = b.core.Self()
 			}
-			b.claims[addr] = row.Ep
-			b.epochs[addr] = row.Ep
+			b.claims[addr] = row.Epoch
+			b.epochs[addr] = row.Epoch
 		}
 		b.mu.Unlock()
 		if start {
@@ -61,10 +61,10 @@
 //
 // It guards against a target that gets more requests than it has slots while it
 // changes hands.
-func (b *Broker) claimTarget(ctx context.Context, addr string, row shard.Row, slots int) {
-	for ctx.Err() == nil && b.isClaiming(addr, row.Ep) {
+func (b *Broker) claimTarget(ctx context.Context, addr string, row shard.Assignment, slots int) {
+	for ctx.Err() == nil && b.isClaiming(addr, row.Epoch) {
 		if held, ghosts, ok := b.findOutstanding(ctx, addr, row, slots); ok {
-			b.finishClaim(addr, row.Ep, slots, held, ghosts)
+			b.finishClaim(addr, row.Epoch, slots, held, ghosts)
 			return
 		}
 		wait.For(ctx, claimRetryInterval)
@@ -77,19 +77,19 @@
 	return b.claims[addr] == ep
 }
 
-func (b *Broker) findOutstanding(ctx context.Context, addr string, row shard.Row, slots int) ([]pool.OutstandingPermit, int, bool) {
-	if row.Was == "" {
+func (b *Broker) findOutstanding(ctx context.Context, addr string, row shard.Assignment, slots int) ([]pool.OutstandingPermit, int, bool) {
+	if row.FormerHolder == "" {
 		return nil, 0, true
 	}
 	self := b.core.Self()
-	if row.Was == self {
+	if row.FormerHolder == self {
 		return nil, slots, true
 	}
-	if m, ok := b.opts.Group.View().Get(row.Was); ok {
+	if m, ok := b.opts.Group.View().Get(row.FormerHolder); ok {
 		cctx, cancel := context.WithTimeout(ctx, b.opts.RPCTimeout)
 		defer cancel()
 		rep, err := link.Call[ClaimArgs, ClaimReply](cctx, b.opts.Links.Get(m.Addr), "Peer.Claim",
-			ClaimArgs{b.opts.Service, addr, self, row.Ep})
+			ClaimArgs{b.opts.Service, addr, self, row.Epoch})
 		if err != nil || !rep.Absent {
 			return rep.Held, rep.Ghosts, err == nil && rep.OK
 		}
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, 0, false
 	}
-	return b.askAllMembers(ctx, view, HeldArgs{b.opts.Service, addr, self, row.Ep}, slots)
+	return b.askAllMembers(ctx, view, HeldArgs{b.opts.Service, addr, self, row.Epoch}, slots)
 }
 
 // askAllMembers asks every process about a target whose holder is gone or never had it.
--- a/internal/route/broker/claim_test.go
+++ b/internal/route/broker/claim_test.go
@@ -103,8 +103,8 @@
 }
 
 // takeOver gives the target to the process by a row and waits until it has taken it over.
-func takeOver(b *process, target string, row shard.Row) {
-	b.TakeOverAssigned(context.Background(), map[string]shard.Row{target: row}, 4)
+func takeOver(b *process, target string, row shard.Assignment) {
+	b.TakeOverAssigned(context.Background(), map[string]shard.Assignment{target: row}, 4)
 	b.wg.Wait()
 }
 
@@ -116,11 +116,11 @@
 	s := store.NewHTTP(srv.URL, time.Minute)
 	next := startProcess(t, "e0", singleWatchStore{s}, nil)
 	holder := startProcess(t, "e1", s, nil)
-	takeOver(holder, "target", shard.Row{By: "e1", Ep: 1})
+	takeOver(holder, "target", shard.Assignment{Holder: "e1", Epoch: 1})
 	if len(holder.Targets()) != 1 {
 		t.Fatal("the first holder has no target")
 	}
-	takeOver(next, "target", shard.Row{By: "e0", Ep: 2, Was: "e1"})
+	takeOver(next, "target", shard.Assignment{Holder: "e0", Epoch: 2, FormerHolder: "e1"})
 	if len(next.Targets()) != 1 || len(holder.Targets()) != 0 {
 		t.Errorf("the next holder has %d, the previous %d", len(next.Targets()), len(holder.Targets()))
 	}
@@ -135,8 +135,8 @@
 	next, holder := startProcess(t, "e0", s, nil), startProcess(t, "e1", s, nil)
 	startProcess(t, "e2", s, nil)
 	next.waitForMember("e2")
-	takeOver(holder, "target", shard.Row{By: "e1", Ep: 1})
-	takeOver(next, "target", shard.Row{By: "e0", Ep: 3, Was: "e2"})
+	takeOver(holder, "target", shard.Assignment{Holder: "e1", Epoch: 1})
+	takeOver(next, "target", shard.Assignment{Holder: "e0", Epoch: 3, FormerHolder: "e2"})
 	if len(next.Targets()) != 1 || len(holder.Targets()) != 0 {
 		t.Errorf("the next holder has %d, the first %d", len(next.Targets()), len(holder.Targets()))
 	}
@@ -161,8 +161,8 @@
 	former, present := startProcess(t, "e0", s, ask), startProcess(t, "e1", s, ask)
 	former.waitForMember("e1")
 	present.waitForMember("e0")
-	former.TakeOverAssigned(ctx, map[string]shard.Row{"target": {By: "e0", Ep: 2, Was: "e1"}}, 4)
-	present.TakeOverAssigned(ctx, map[string]shard.Row{"target": {By: "e1", Ep: 3, Was: "e0"}}, 4)
+	former.TakeOverAssigned(ctx, map[string]shard.Assignment{"target": {Holder: "e0", Epoch: 2, FormerHolder: "e1"}}, 4)
+	present.TakeOverAssigned(ctx, map[string]shard.Assignment{"target": {Holder: "e1", Epoch: 3, FormerHolder: "e0"}}, 4)
 	close(both)
 	former.wg.Wait()
 	present.wg.Wait()
@@ -177,7 +177,7 @@
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	owner := startProcess(t, "e0", store.NewHTTP(srv.URL, time.Minute), nil)
-	row := shard.Row{By: "e0", Ep: 1}
+	row := shard.Assignment{Holder: "e0", Epoch: 1}
 	takeOver(owner, "target", row)
 	owner.DropTargets()
 	takeOver(owner, "target", row)
--- a/internal/route/entry/entry_test.go
+++ b/internal/route/entry/entry_test.go
@@ -83,7 +83,7 @@
 		Log:            logr.Discard(),
 	})
 	b.SetLimits(time.Minute, time.Minute, 1)
-	b.TakeOverAssigned(t.Context(), map[string]shard.Row{addr: {Ep: 1}}, 4)
+	b.TakeOverAssigned(t.Context(), map[string]shard.Assignment{addr: {Epoch: 1}}, 4)
 	ended, end := context.WithCancel(t.Context())
 	end()
 	b.Run(ended) // until the target is owned
