--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -29,38 +29,38 @@
 
 // Node is one serving process; Start makes one and Stop ends it gracefully.
 type Node struct {
-	s     conf.Settings
-	id    string
-	log   logr.Logger
-	store store.Store
-	links *link.Set
-
-	group  *member.Group
-	keeper *shard.Assigner
-	feed   *sheet.ConfigWatcher
-	hosts  hostList
-	homes  *once.Registry
-	relay  *relay.Relay
-	routes routes
-	entry  *entry.Entry
-	holder *hold.Holder
-	lost   chan struct{} // closed when a listener fails
-
-	scope   tally.Scope
-	metrics http.Handler
-	flush   io.Closer
-	traces  func(context.Context) error
-
-	peers   *link.Server
-	callers *http.Server
-	admin   *http.Server
-	addrs   [3]string
-
-	stopping atomic.Bool
-	cancel   context.CancelFunc
-	late     context.CancelFunc // of what outlives the serving of requests
-	wg       sync.WaitGroup
-	lateWG   sync.WaitGroup
+	settings conf.Settings
+	id       string
+	log      logr.Logger
+	store    store.Store
+	links    *link.Set
+
+	membership     *member.Group
+	assigner       *shard.Assigner
+	configWatcher  *sheet.ConfigWatcher
+	hosts          hostList
+	registry       *once.Registry
+	relay          *relay.Relay
+	services       serviceSet
+	entry          *entry.Entry
+	batchHolder    *hold.Holder
+	listenerFailed chan struct{} // closed when a listener fails
+
+	scope           tally.Scope
+	metricsHandler  http.Handler
+	metricsCloser   io.Closer
+	shutdownTracing func(context.Context) error
+
+	peerServer   *link.Server
+	callerServer *http.Server
+	adminServer  *http.Server
+	addrs        [3]string
+
+	stopping         atomic.Bool
+	cancelServing    context.CancelFunc
+	cancelBackground context.CancelFunc // of what outlives the serving of requests
+	servingWG        sync.WaitGroup
+	backgroundWG     sync.WaitGroup
 }
 
 // Start listens, joins the other processes and serves; the error names the listener
@@ -71,39 +71,39 @@
 		name = "entry"
 	}
 	id := name + "-" + uuid.NewString()[:8]
-	n := &Node{s: s, id: id, log: log.WithValues("node", id), links: &link.Set{}, lost: make(chan struct{})}
+	n := &Node{settings: s, id: id, log: log.WithValues("node", id), links: &link.Set{}, listenerFailed: make(chan struct{})}
 	n.store = store.NewHTTP(s.Store.URL, s.Store.Timeout)
-	lis, err := n.listen()
+	lis, err := n.openListeners()
 	if err != nil {
 		return nil, err
 	}
-	n.scope, n.metrics, n.flush = telem.NewMetrics()
-	if n.traces, err = telem.StartTracing(context.Background(), s.Trace.URL, id); err != nil {
-		closeAll(lis)
+	n.scope, n.metricsHandler, n.metricsCloser = telem.NewMetrics()
+	if n.shutdownTracing, err = telem.StartTracing(context.Background(), s.Trace.URL, id); err != nil {
+		closeListeners(lis)
 		return nil, err
 	}
-	n.assemble()
-	if n.peers, err = link.NewServer("Peer", &Peer{n}); err != nil {
-		closeAll(lis)
+	n.newComponents()
+	if n.peerServer, err = link.NewServer("Peer", &Peer{n}); err != nil {
+		closeListeners(lis)
 		return nil, err
 	}
-	n.serve(lis)
+	n.startServing(lis)
 	n.log.Info("serving", "zone", s.Zone, "caller", n.addrs[0], "peer", n.addrs[1], "admin", n.addrs[2])
 	return n, nil
 }
 
 const (
-	callerLis = iota
-	peerLis
-	adminLis
+	callerListener = iota
+	peerListener
+	adminListener
 )
 
-func (n *Node) listen() ([]net.Listener, error) {
+func (n *Node) openListeners() ([]net.Listener, error) {
 	var all []net.Listener
-	for i, addr := range []string{n.s.Listen.Caller, n.s.Listen.Peer, n.s.Listen.Admin} {
+	for i, addr := range []string{n.settings.Listen.Caller, n.settings.Listen.Peer, n.settings.Listen.Admin} {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
-			closeAll(all)
+			closeListeners(all)
 			return nil, errors.Wrap(err, "node")
 		}
 		all = append(all, l)
@@ -112,66 +112,66 @@
 	return all, nil
 }
 
-func closeAll(lis []net.Listener) {
+func closeListeners(lis []net.Listener) {
 	for _, l := range lis {
 		_ = l.Close()
 	}
 }
 
-func (n *Node) assemble() {
-	n.group = member.New(member.Options{
-		Self:              member.Member{ID: n.id, Addr: n.addrs[peerLis], Zone: n.s.Zone, State: member.StateLive},
+func (n *Node) newComponents() {
+	n.membership = member.New(member.Options{
+		Self:              member.Member{ID: n.id, Addr: n.addrs[peerListener], Zone: n.settings.Zone, State: member.StateLive},
 		Store:             n.store,
 		Links:             n.links,
-		LeaseTTL:          n.s.Store.LeaseTTL,
-		WatchTimeout:      n.s.Store.WatchTimeout,
-		HeartbeatInterval: n.s.Peer.HeartbeatInterval,
-		HeartbeatTimeout:  n.s.Peer.Timeout,
+		LeaseTTL:          n.settings.Store.LeaseTTL,
+		WatchTimeout:      n.settings.Store.WatchTimeout,
+		HeartbeatInterval: n.settings.Peer.HeartbeatInterval,
+		HeartbeatTimeout:  n.settings.Peer.Timeout,
 		Log:               n.log,
-		OnViewChange:      n.viewChanged,
-		OnJoin:            n.joined,
-		CurrentLoad:       n.loads,
-		OnPeerLoad:        n.heard,
+		OnViewChange:      n.onViewChange,
+		OnJoin:            n.onJoin,
+		CurrentLoad:       n.currentLoad,
+		OnPeerLoad:        n.onPeerLoad,
 	})
-	n.keeper = shard.NewAssigner(shard.Options{
-		Store: n.store, Group: n.group, WatchTimeout: n.s.Store.WatchTimeout, ListItems: n.items, OnTableChange: n.tableChanged, Log: n.log,
+	n.assigner = shard.NewAssigner(shard.Options{
+		Store: n.store, Group: n.membership, WatchTimeout: n.settings.Store.WatchTimeout, ListItems: n.shardItems, OnTableChange: n.onTableChange, Log: n.log,
 	})
-	n.feed = sheet.NewConfigWatcher(n.store, n.s.Store.WatchTimeout, n.configChanged, n.log)
-	n.homes = once.NewRegistry(once.NewTable(n.s.Limit.RequestIDRetention), n.group, n.links, n.s.Peer.Timeout, n.log)
-	n.holder = hold.New(hold.Options{
-		Store: n.store, Group: n.group, Keeper: n.keeper, Links: n.links,
-		Config: n.feed.Current, ConfigAge: n.feed.ConfirmationAge, Hosts: n.hosts.now,
-		BucketCount: n.s.Worker.Buckets, LeaseTTL: n.s.Worker.LeaseTTL, PollInterval: n.s.Worker.PollInterval, MaxConfigAge: n.s.Worker.MaxConfigAge,
-		CallTimeout: n.s.Peer.Timeout, Log: n.log, Scope: n.scope,
+	n.configWatcher = sheet.NewConfigWatcher(n.store, n.settings.Store.WatchTimeout, n.onConfigChange, n.log)
+	n.registry = once.NewRegistry(once.NewTable(n.settings.Limit.RequestIDRetention), n.membership, n.links, n.settings.Peer.Timeout, n.log)
+	n.batchHolder = hold.New(hold.Options{
+		Store: n.store, Group: n.membership, Keeper: n.assigner, Links: n.links,
+		Config: n.configWatcher.Current, ConfigAge: n.configWatcher.ConfirmationAge, Hosts: n.hosts.current,
+		BucketCount: n.settings.Worker.Buckets, LeaseTTL: n.settings.Worker.LeaseTTL, PollInterval: n.settings.Worker.PollInterval, MaxConfigAge: n.settings.Worker.MaxConfigAge,
+		CallTimeout: n.settings.Peer.Timeout, Log: n.log, Scope: n.scope,
 	})
-	n.relay = relay.New(n.s.Limit.MaxAnswerBytes, n.group.Authorized)
+	n.relay = relay.New(n.settings.Limit.MaxAnswerBytes, n.membership.Authorized)
 	n.entry = entry.New(n.id, entry.Options{
-		FindService: n.find, Registry: n.homes, Relay: n.relay, Limits: n.s.Limit, Log: n.log, Scope: n.scope,
+		FindService: n.lookUpService, Registry: n.registry, Relay: n.relay, Limits: n.settings.Limit, Log: n.log, Scope: n.scope,
 	})
 }
 
-func (n *Node) serve(lis []net.Listener) {
+func (n *Node) startServing(lis []net.Listener) {
 	// Requests end first, then what they need: the late context outlives the other.
 	ctx, cancel := context.WithCancel(context.Background())
 	late, lateCancel := context.WithCancel(context.Background())
-	n.cancel, n.late = cancel, lateCancel
-	n.routes.init(n, late)
-	n.lateWG.Go(func() { n.group.Run(late) })
-	n.lateWG.Go(func() { n.keeper.Run(late) })
-	n.lateWG.Go(func() { n.feed.Run(late, n.s.Worker.MaxConfigAge) })
-	n.lateWG.Go(func() { n.holder.Run(late) })
-	n.wg.Go(func() { n.followHosts(ctx) })
-	n.callers = &http.Server{Handler: n.entry.Handler(), ReadHeaderTimeout: n.s.Limit.ReadTimeout}
-	n.admin = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: n.s.Limit.ReadTimeout}
-	n.wg.Go(func() { n.listenHTTP(n.callers, lis[callerLis]) })
-	n.lateWG.Go(func() { n.listenHTTP(n.admin, lis[adminLis]) })
-	n.lateWG.Go(func() { n.peers.Serve(lis[peerLis]) })
+	n.cancelServing, n.cancelBackground = cancel, lateCancel
+	n.services.init(n, late)
+	n.backgroundWG.Go(func() { n.membership.Run(late) })
+	n.backgroundWG.Go(func() { n.assigner.Run(late) })
+	n.backgroundWG.Go(func() { n.configWatcher.Run(late, n.settings.Worker.MaxConfigAge) })
+	n.backgroundWG.Go(func() { n.batchHolder.Run(late) })
+	n.servingWG.Go(func() { n.pollHosts(ctx) })
+	n.callerServer = &http.Server{Handler: n.entry.Handler(), ReadHeaderTimeout: n.settings.Limit.ReadTimeout}
+	n.adminServer = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: n.settings.Limit.ReadTimeout}
+	n.servingWG.Go(func() { n.serveHTTP(n.callerServer, lis[callerListener]) })
+	n.backgroundWG.Go(func() { n.serveHTTP(n.adminServer, lis[adminListener]) })
+	n.backgroundWG.Go(func() { n.peerServer.Serve(lis[peerListener]) })
 }
 
-func (n *Node) listenHTTP(s *http.Server, l net.Listener) {
+func (n *Node) serveHTTP(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		n.log.Error(err, "listener lost", "addr", l.Addr().String())
-		close(n.lost)
+		close(n.listenerFailed)
 	}
 }
 
@@ -179,17 +179,17 @@
 func (n *Node) ID() string { return n.id }
 
 // CallerAddr returns the address on which callers are served.
-func (n *Node) CallerAddr() string { return n.addrs[callerLis] }
+func (n *Node) CallerAddr() string { return n.addrs[callerListener] }
 
 // AdminAddr returns the address of the administration API.
-func (n *Node) AdminAddr() string { return n.addrs[adminLis] }
+func (n *Node) AdminAddr() string { return n.addrs[adminListener] }
 
-// Lost is closed when the process can't serve any more.
-func (n *Node) Lost() <-chan struct{} { return n.lost }
+// ListenerFailed is closed when the process can't serve any more.
+func (n *Node) ListenerFailed() <-chan struct{} { return n.listenerFailed }
 
 // Ready reports whether the balancer should send requests here.
 func (n *Node) Ready() bool {
-	return !n.stopping.Load() && n.keeper.Authorized() && n.feed.Current().Version > 0
+	return !n.stopping.Load() && n.assigner.Authorized() && n.configWatcher.Current().Version > 0
 }
 
 // Stop ends the process gracefully: readiness goes first; while the balancer still
@@ -199,31 +199,31 @@
 	if n.stopping.Swap(true) {
 		return nil
 	}
-	n.log.Info("stopping", "linger", n.s.Stop.Linger, "grace", n.s.Stop.Grace)
-	n.group.SetState(member.StateLeaving)
-	wait.For(ctx, n.s.Stop.Linger)
-	grace, cancel := context.WithTimeout(ctx, n.s.Stop.Grace)
+	n.log.Info("stopping", "linger", n.settings.Stop.Linger, "grace", n.settings.Stop.Grace)
+	n.membership.SetState(member.StateLeaving)
+	wait.For(ctx, n.settings.Stop.Linger)
+	grace, cancel := context.WithTimeout(ctx, n.settings.Stop.Grace)
 	defer cancel()
-	err := n.callers.Shutdown(grace)
-	n.cancel()
-	n.wg.Wait()
-	n.routes.handOver(grace)
-	n.end(grace)
+	err := n.callerServer.Shutdown(grace)
+	n.cancelServing()
+	n.servingWG.Wait()
+	n.services.awaitHandover(grace)
+	n.stopBackground(grace)
 	n.log.Info("stopped", "cut", err != nil)
 	return errors.Wrap(err, "node: requests were cut after the grace period")
 }
 
-// end stops what is left once no request needs it.
-func (n *Node) end(ctx context.Context) {
-	n.late()
-	n.peers.Close()
-	_ = n.admin.Close()
-	n.lateWG.Wait()
-	n.routes.wait()
+// stopBackground stops what is left once no request needs it.
+func (n *Node) stopBackground(ctx context.Context) {
+	n.cancelBackground()
+	n.peerServer.Close()
+	_ = n.adminServer.Close()
+	n.backgroundWG.Wait()
+	n.services.wait()
 	n.links.CloseExcept(nil)
 	n.relay.Close()
-	_ = n.flush.Close()
-	if err := n.traces(ctx); err != nil {
+	_ = n.metricsCloser.Close()
+	if err := n.shutdownTracing(ctx); err != nil {
 		n.log.Info("traces not flushed", "err", err.Error())
 	}
 }
@@ -234,9 +234,9 @@
 	if n.stopping.Swap(true) {
 		return
 	}
-	n.group.AbandonLease()
-	n.cancel()
-	_ = n.callers.Close()
-	n.wg.Wait()
-	n.end(context.Background())
+	n.membership.AbandonLease()
+	n.cancelServing()
+	_ = n.callerServer.Close()
+	n.servingWG.Wait()
+	n.stopBackground(context.Background())
 }
--- a/internal/proc/node/node_test.go
+++ b/internal/proc/node/node_test.go
@@ -26,8 +26,8 @@
 zones = ["heredia"]
 `
 
-// send sends a body as JSON and returns the answer's status and text.
-func send(t *testing.T, method, url string, body any) (int, string) {
+// sendJSON sends a body as JSON and returns the answer's status and text.
+func sendJSON(t *testing.T, method, url string, body any) (int, string) {
 	t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -51,7 +51,7 @@
 
 // An operator puts a sheet through a process and submits a job there, before the process
 // has heard of the sheet from the store. The job's kind is declared and must be known.
-func TestJobAfterSheet(t *testing.T) {
+func TestSubmitJobAfterPutSheet(t *testing.T) {
 	fake := new(fakestore.Store).Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/kv/config" && r.URL.Query().Has("recurse") {
@@ -73,11 +73,11 @@
 	}
 	t.Cleanup(n.Abort)
 	admin := "http://" + n.AdminAddr()
-	if status, text := send(t, http.MethodPut, admin+"/v1/sheet", map[string]string{"text": sheetText}); status != http.StatusOK {
+	if status, text := sendJSON(t, http.MethodPut, admin+"/v1/sheet", map[string]string{"text": sheetText}); status != http.StatusOK {
 		t.Fatalf("the sheet: %d %s", status, text)
 	}
 	job := jobs.Spec{ID: "audit-1", Kind: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: time.Second}
-	if status, text := send(t, http.MethodPost, admin+"/v1/jobs", job); status == http.StatusBadRequest {
+	if status, text := sendJSON(t, http.MethodPost, admin+"/v1/jobs", job); status == http.StatusBadRequest {
 		t.Errorf("the job: %d %s", status, text)
 	}
 }
--- a/internal/proc/node/peer.go
+++ b/internal/proc/node/peer.go
@@ -12,28 +12,28 @@
 	"bramleysail.example/bramleysail/internal/route/once"
 )
 
-var httpClient = &http.Client{}
+var hostListClient = &http.Client{}
 
-// errService says that the service isn't known here yet; the peer may ask again.
-var errService = errors.New("node: service not known here")
+// errUnknownService says that the service isn't known here yet; the peer may ask again.
+var errUnknownService = errors.New("node: service not known here")
 
 // Peer is what the other entry processes call over net/rpc.
 type Peer struct {
-	n *Node
+	node *Node
 }
 
 // Beat exchanges heartbeats.
 func (p *Peer) Beat(in member.Heartbeat, out *member.Heartbeat) error {
-	p.n.group.HandleHeartbeat(in)
-	*out = p.n.group.Heartbeat()
+	p.node.membership.HandleHeartbeat(in)
+	*out = p.node.membership.Heartbeat()
 	return nil
 }
 
-// with runs f on the broker of a service.
-func with[Out any](p *Peer, service string, out *Out, f func(*broker.Broker) Out) error {
-	rt := p.n.routes.get(service)
+// withBroker runs f on the broker of a service.
+func withBroker[Out any](p *Peer, service string, out *Out, f func(*broker.Broker) Out) error {
+	rt := p.node.services.get(service)
 	if rt == nil {
-		return errService
+		return errUnknownService
 	}
 	*out = f(rt.broker)
 	return nil
@@ -41,46 +41,46 @@
 
 // Ask asks for slots.
 func (p *Peer) Ask(in broker.AskArgs, out *broker.AskReply) error {
-	return with(p, in.Service, out, func(b *broker.Broker) broker.AskReply { return b.HandleAsk(in) })
+	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.AskReply { return b.HandleAsk(in) })
 }
 
 // Free gives a permit back.
 func (p *Peer) Free(in broker.FreeArgs, out *bool) error {
-	return with(p, in.Service, out, func(b *broker.Broker) bool { b.HandleFree(in); return true })
+	return withBroker(p, in.Service, out, func(b *broker.Broker) bool { b.HandleFree(in); return true })
 }
 
 // Claim takes a target over.
 func (p *Peer) Claim(in broker.ClaimArgs, out *broker.ClaimReply) error {
-	return with(p, in.Service, out, func(b *broker.Broker) broker.ClaimReply { return b.HandleClaim(in) })
+	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.ClaimReply { return b.HandleClaim(in) })
 }
 
 // Held asks for the permits in use of a lost owner's target.
 func (p *Peer) Held(in broker.HeldArgs, out *broker.HeldReply) error {
-	return with(p, in.Service, out, func(b *broker.Broker) broker.HeldReply { return b.HandleHeld(in) })
+	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.HeldReply { return b.HandleHeld(in) })
 }
 
 // Begin enters a non-idempotent request.
 func (p *Peer) Begin(in once.BeginArgs, out *once.BeginReply) error {
-	*out = p.n.homes.HandleBegin(in)
+	*out = p.node.registry.HandleBegin(in)
 	return nil
 }
 
 // Finish tells how a non-idempotent request ended.
 func (p *Peer) Finish(in once.FinishArgs, out *bool) error {
-	p.n.homes.HandleFinish(in)
+	p.node.registry.HandleFinish(in)
 	*out = true
 	return nil
 }
 
 // Pull asks for the records whose home or witness the asker is.
 func (p *Peer) Pull(in once.PullArgs, out *once.PullReply) error {
-	*out = p.n.homes.HandlePull(in)
+	*out = p.node.registry.HandlePull(in)
 	return nil
 }
 
 // Yield gives up a rack or a bucket.
 func (p *Peer) Yield(in hold.YieldArgs, out *bool) error {
-	*out = p.n.holder.HandleYield(in)
+	*out = p.node.batchHolder.HandleYield(in)
 	return nil
 }
 
@@ -88,12 +88,12 @@
 func (p *Peer) Submit(in hold.SubmitArgs, out *hold.SubmitReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
-	*out = p.n.holder.SubmitLocal(ctx, in)
+	*out = p.node.batchHolder.SubmitLocal(ctx, in)
 	return nil
 }
 
 // Sync answers the reports of racks.
 func (p *Peer) Sync(in hold.SyncArgs, out *hold.SyncReply) error {
-	*out = p.n.holder.HandleReports(in)
+	*out = p.node.batchHolder.HandleReports(in)
 	return nil
 }
--- a/internal/proc/tool/admin.go
+++ b/internal/proc/tool/admin.go
@@ -36,8 +36,8 @@
 	)
 }
 
-// call makes one call of the administration API and decodes its answer into out.
-func call[Out any](ctx context.Context, c *cli.Command, method, path string, body any) (Out, error) {
+// callAdmin makes one callAdmin of the administration API and decodes its answer into out.
+func callAdmin[Out any](ctx context.Context, c *cli.Command, method, path string, body any) (Out, error) {
 	var out Out
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
@@ -54,41 +54,41 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return out, unanswered(method, err)
+		return out, noAnswerError(method, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		var p node.Problem
 		_ = json.NewDecoder(resp.Body).Decode(&p)
-		return out, exit{errors.Errorf("bramleysail: %s: %s", p.Code, p.Text), problemExit(p.Code)}
+		return out, exitError{errors.Errorf("bramleysail: %s: %s", p.Code, p.Text), problemExitCode(p.Code)}
 	}
 	return out, errors.Wrap(json.NewDecoder(resp.Body).Decode(&out), "bramleysail")
 }
 
-// unanswered says what a call without an answer means: a change may be in force unless
+// noAnswerError says what a call without an answer means: a change may be in force unless
 // the process couldn't even be reached.
-func unanswered(method string, err error) error {
+func noAnswerError(method string, err error) error {
 	var op *net.OpError
 	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
-		return exit{errors.Wrap(err, "bramleysail: not reached; nothing was changed"), ExitFailed}
+		return exitError{errors.Wrap(err, "bramleysail: not reached; nothing was changed"), ExitFailed}
 	}
-	return exit{errors.Wrap(err, "bramleysail: no answer; a change may be in force, read back"), ExitUnknown}
+	return exitError{errors.Wrap(err, "bramleysail: no answer; a change may be in force, read back"), ExitOutcomeUnknown}
 }
 
-func problemExit(code node.AdminCode) int {
+func problemExitCode(code node.AdminCode) int {
 	switch code {
-	case node.AdminInvalid, node.AdminZone, node.AdminAbsent:
+	case node.AdminInvalid, node.AdminUnknownZone, node.AdminNotFound:
 		return ExitInvalid
-	case node.AdminConflict, node.AdminShrunken:
+	case node.AdminConflict, node.AdminUnconfirmedDrop:
 		return ExitConflict
-	case node.AdminStore:
-		return ExitUnknown
+	case node.AdminStoreFailure:
+		return ExitOutcomeUnknown
 	}
 	return ExitFailed
 }
 
-// show prints v as JSON when asked for, or else by table.
-func show[T any](c *cli.Command, out io.Writer, v T, table func(io.Writer, T)) error {
+// printResult prints v as JSON when asked for, or else by table.
+func printResult[T any](c *cli.Command, out io.Writer, v T, table func(io.Writer, T)) error {
 	switch c.String("output") {
 	case "json":
 		e := json.NewEncoder(out)
@@ -99,19 +99,19 @@
 		table(w, v)
 		return w.Flush()
 	}
-	return exit{errors.Errorf("bramleysail: --output: %q is neither table nor json", c.String("output")), ExitInvalid}
+	return exitError{errors.Errorf("bramleysail: --output: %q is neither table nor json", c.String("output")), ExitInvalid}
 }
 
-// config is the administration API's answer about the configuration.
-type config struct {
-	Num  uint64            `json:"num"`
-	Out  map[string]uint64 `json:"out"`
-	Text string            `json:"text"`
+// configView is the administration API's answer about the configuration.
+type configView struct {
+	Version        uint64            `json:"num"`
+	EvacuatedZones map[string]uint64 `json:"out"`
+	Text           string            `json:"text"`
 }
 
-func (c config) outZones() string {
+func (c configView) evacuatedText() string {
 	var zones []string
-	for z := range c.Out {
+	for z := range c.EvacuatedZones {
 		zones = append(zones, z)
 	}
 	slices.Sort(zones)
@@ -121,8 +121,8 @@
 	return strings.Join(zones, " ")
 }
 
-func configTable(w io.Writer, c config) {
-	fmt.Fprintf(w, "configuration\t%d\nout\t%s\n", c.Num, c.outZones())
+func writeConfigTable(w io.Writer, c configView) {
+	fmt.Fprintf(w, "configuration\t%d\nout\t%s\n", c.Version, c.evacuatedText())
 }
 
 func sheetCommand(out io.Writer) *cli.Command {
@@ -133,12 +133,12 @@
 			{
 				Name: "show", Usage: "print the sheet in force", Flags: adminFlags(),
 				Action: func(ctx context.Context, c *cli.Command) error {
-					v, err := call[config](ctx, c, http.MethodGet, "/v1/sheet", nil)
+					v, err := callAdmin[configView](ctx, c, http.MethodGet, "/v1/sheet", nil)
 					if err != nil {
 						return err
 					}
-					return show(c, out, v, func(w io.Writer, v config) {
-						configTable(w, v)
+					return printResult(c, out, v, func(w io.Writer, v configView) {
+						writeConfigTable(w, v)
 						fmt.Fprintf(w, "\n%s\n", v.Text)
 					})
 				},
@@ -152,14 +152,14 @@
 					if err != nil {
 						return err
 					}
-					v, err := call[config](ctx, c, http.MethodPut, "/v1/sheet", struct {
+					v, err := callAdmin[configView](ctx, c, http.MethodPut, "/v1/sheet", struct {
 						Text    string `json:"text"`
 						Confirm bool   `json:"confirm"`
 					}{text, c.Bool("confirm")})
 					if err != nil {
 						return err
 					}
-					return show(c, out, v, configTable)
+					return printResult(c, out, v, writeConfigTable)
 				},
 			},
 			{
@@ -169,7 +169,7 @@
 					if err != nil {
 						return err
 					}
-					v, err := call[config](ctx, c, http.MethodGet, "/v1/sheet", nil)
+					v, err := callAdmin[configView](ctx, c, http.MethodGet, "/v1/sheet", nil)
 					if err != nil {
 						return err
 					}
@@ -182,13 +182,13 @@
 }
 
 func readSheet(c *cli.Command) (string, error) {
-	name, err := argument(c, "FILE")
+	name, err := singleArgument(c, "FILE")
 	if err != nil {
 		return "", err
 	}
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return "", exit{errors.Wrap(err, "bramleysail"), ExitInvalid}
+		return "", exitError{errors.Wrap(err, "bramleysail"), ExitInvalid}
 	}
 	if _, err := sheet.Parse(string(data)); err != nil {
 		return "", err
@@ -202,15 +202,15 @@
 			Name: verb, Usage: usage, ArgsUsage: "NAME", Flags: adminFlags(),
 			Description: "Example: bramleysail domain " + verb + " heredia",
 			Action: func(ctx context.Context, c *cli.Command) error {
-				zone, err := argument(c, "NAME")
+				zone, err := singleArgument(c, "NAME")
 				if err != nil {
 					return err
 				}
-				v, err := call[config](ctx, c, http.MethodPost, "/v1/zones/"+url.PathEscape(zone)+"/"+verb, nil)
+				v, err := callAdmin[configView](ctx, c, http.MethodPost, "/v1/zones/"+url.PathEscape(zone)+"/"+verb, nil)
 				if err != nil {
 					return err
 				}
-				return show(c, out, v, configTable)
+				return printResult(c, out, v, writeConfigTable)
 			},
 		}
 	}
@@ -224,18 +224,18 @@
 	return &cli.Command{
 		Name: "status", Usage: "show what an entry process knows", Flags: adminFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			v, err := call[node.Status](ctx, c, http.MethodGet, "/v1/status", nil)
+			v, err := callAdmin[node.Status](ctx, c, http.MethodGet, "/v1/status", nil)
 			if err != nil {
 				return err
 			}
-			return show(c, out, v, statusTable)
+			return printResult(c, out, v, writeStatusTable)
 		},
 	}
 }
 
-func statusTable(w io.Writer, s node.Status) {
+func writeStatusTable(w io.Writer, s node.Status) {
 	fmt.Fprintf(w, "node\t%s\nzone\t%s\nready\t%t\nsure\t%t\nview\t%d\nmembers\t%s\nconfiguration\t%d\nout\t%s\nracks\t%s\nbuckets\t%s\n",
-		s.Node, s.Zone, s.Ready, s.Sure, s.Epoch, strings.Join(s.Members, " "), s.Config, strings.Join(s.Out, " "),
+		s.Node, s.Zone, s.Ready, s.Authorized, s.ViewEpoch, strings.Join(s.Members, " "), s.ConfigVersion, strings.Join(s.EvacuatedZones, " "),
 		strings.Join(s.Racks, " "), strings.Join(s.Buckets, " "))
 	for _, name := range slices.Sorted(maps.Keys(s.Services)) {
 		v := s.Services[name]
--- a/internal/proc/tool/cli.go
+++ b/internal/proc/tool/cli.go
@@ -20,12 +20,12 @@
 
 // Exit codes of the command.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1 // the command could not be carried out
-	ExitInvalid  = 2 // the input is wrong; nothing was changed
-	ExitConflict = 3 // somebody else changed it first; nothing was changed
-	ExitUnknown  = 4 // no answer: the change may be in force; read back
-	ExitBroken   = 5 // the demo saw a promise broken
+	ExitOK                = 0
+	ExitFailed            = 1 // the command could not be carried out
+	ExitInvalid           = 2 // the input is wrong; nothing was changed
+	ExitConflict          = 3 // somebody else changed it first; nothing was changed
+	ExitOutcomeUnknown    = 4 // no answer: the change may be in force; read back
+	ExitGuaranteeViolated = 5 // the demo saw a promise broken
 )
 
 const exitHelp = `Exit codes: 0 done, 1 failed, 2 invalid input, 3 conflict, 4 outcome unknown, 5 promise broken (demo).`
@@ -51,16 +51,16 @@
 	return exitCode(err)
 }
 
-// exit is an error that carries the exit code.
-type exit struct {
+// exitError is an error that carries the exitError code.
+type exitError struct {
 	error
 	code int
 }
 
-func (e exit) Unwrap() error { return e.error }
+func (e exitError) Unwrap() error { return e.error }
 
 func exitCode(err error) int {
-	var e exit
+	var e exitError
 	var faults conf.Errors
 	switch {
 	case errors.As(err, &e):
@@ -71,10 +71,10 @@
 	return ExitFailed
 }
 
-// argument returns the command's one argument.
-func argument(c *cli.Command, what string) (string, error) {
+// singleArgument returns the command's one singleArgument.
+func singleArgument(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", exit{errors.Errorf("bramleysail: %s takes one %s, see --help", c.Name, what), ExitInvalid}
+		return "", exitError{errors.Errorf("bramleysail: %s takes one %s, see --help", c.Name, what), ExitInvalid}
 	}
 	return c.Args().First(), nil
 }
@@ -93,7 +93,7 @@
 					return err
 				}
 			}
-			return serve(ctx, s, errOut)
+			return runNode(ctx, s, errOut)
 		},
 	}
 }
@@ -111,14 +111,14 @@
 			}
 			broken, err := run(ctx, out)
 			if err == nil && len(broken) > 0 {
-				err = exit{errors.Errorf("bramleysail: %d promises were broken", len(broken)), ExitBroken}
+				err = exitError{errors.Errorf("bramleysail: %d promises were broken", len(broken)), ExitGuaranteeViolated}
 			}
 			return err
 		},
 	}
 }
 
-func serve(ctx context.Context, s conf.Settings, errOut io.Writer) error {
+func runNode(ctx context.Context, s conf.Settings, errOut io.Writer) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	n, err := node.Start(s, telem.NewLogger(errOut, s.Log.Level))
@@ -127,7 +127,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-n.Lost():
+	case <-n.ListenerFailed():
 		err = errors.New("bramleysail: a listener was lost")
 	}
 	// A second signal ends the process at once.
@@ -149,13 +149,13 @@
 			&cli.BoolFlag{Name: "host", Usage: "the file is the settings of a host on the users' platform"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			name, err := argument(c, "FILE")
+			name, err := singleArgument(c, "FILE")
 			if err != nil {
 				return err
 			}
 			data, err := os.ReadFile(name)
 			if err != nil {
-				return exit{errors.Wrap(err, "bramleysail"), ExitInvalid}
+				return exitError{errors.Wrap(err, "bramleysail"), ExitInvalid}
 			}
 			switch text := string(data); {
 			case c.Bool("sheet"):
--- a/internal/proc/tool/explain.go
+++ b/internal/proc/tool/explain.go
@@ -21,7 +21,7 @@
 		Flags:       []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "for programs"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 1 {
-				return exit{errors.Errorf("bramleysail: %s takes a job's id, see --help", c.Name), ExitInvalid}
+				return exitError{errors.Errorf("bramleysail: %s takes a job's id, see --help", c.Name), ExitInvalid}
 			}
 			lines, err := readLogs(c.Args().Tail(), errOut)
 			if err != nil {
@@ -30,7 +30,7 @@
 			s, err := story.Of(c.Args().First(), lines)
 			switch {
 			case errors.Is(err, story.ErrNone):
-				return exit{err, ExitInvalid}
+				return exitError{err, ExitInvalid}
 			case err != nil:
 				return err
 			case c.Bool("json"):
@@ -49,7 +49,7 @@
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
-			return nil, exit{errors.Wrap(err, "bramleysail"), ExitInvalid}
+			return nil, exitError{errors.Wrap(err, "bramleysail"), ExitInvalid}
 		}
 		lines, err := readLog(name, f, errOut)
 		if cerr := f.Close(); err == nil {
--- a/internal/proc/tool/host.go
+++ b/internal/proc/tool/host.go
@@ -18,9 +18,9 @@
 	"bramleysail.example/bramleysail/platform"
 )
 
-// storeLimit bounds a call of the key-value service: some 4 ms as a rule, and 90 times that
+// storeTimeout bounds a call of the key-value service: some 4 ms as a rule, and 90 times that
 // when it is slow.
-const storeLimit = time.Second
+const storeTimeout = time.Second
 
 func hostCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
@@ -49,7 +49,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	h, err := front.Start(set, front.Adapters{
-		Store:            platform.NewStoreClient(set.Store.Addr, storeLimit),
+		Store:            platform.NewStoreClient(set.Store.Addr, storeTimeout),
 		WorkerClient:     platform.NewWorkerClient(front.MaxWorkerConns(set.Limit)),
 		Codec:            platform.NewCodec(),
 		CallerHandler:    func(d *front.Forwarder) http.Handler { return platform.NewCallerHandler(d) },
--- a/internal/proc/tool/job.go
+++ b/internal/proc/tool/job.go
@@ -15,10 +15,10 @@
 	"bramleysail.example/bramleysail/internal/proc/node"
 )
 
-func jobTable(w io.Writer, j node.JobView) {
-	fmt.Fprintf(w, "job\t%s\nkind\t%s\nstate\t%s\ndone\t%d of %d\nplaced\t%d\n", j.Spec.ID, j.Spec.Kind, j.State, j.Done, j.Spec.N, j.Run)
-	if j.Why != "" {
-		fmt.Fprintf(w, "why\t%s\n", j.Why)
+func writeJobTable(w io.Writer, j node.JobView) {
+	fmt.Fprintf(w, "job\t%s\nkind\t%s\nstate\t%s\ndone\t%d of %d\nplaced\t%d\n", j.Spec.ID, j.Spec.Kind, j.State, j.FinishedTasks, j.Spec.N, j.PlacedTasks)
+	if j.Reason != "" {
+		fmt.Fprintf(w, "why\t%s\n", j.Reason)
 	}
 }
 
@@ -28,15 +28,15 @@
 			Name: name, Usage: usage, ArgsUsage: "ID", Flags: adminFlags(),
 			Description: "Example: bramleysail job " + name + " audit-7",
 			Action: func(ctx context.Context, c *cli.Command) error {
-				id, err := argument(c, "ID")
+				id, err := singleArgument(c, "ID")
 				if err != nil {
 					return err
 				}
-				v, err := call[node.JobView](ctx, c, method, "/v1/jobs/"+url.PathEscape(id)+suffix, nil)
+				v, err := callAdmin[node.JobView](ctx, c, method, "/v1/jobs/"+url.PathEscape(id)+suffix, nil)
 				if err != nil {
 					return err
 				}
-				return show(c, out, v, jobTable)
+				return printResult(c, out, v, writeJobTable)
 			},
 		}
 	}
@@ -67,7 +67,7 @@
 			&cli.BoolFlag{Name: "standing", Usage: "the tasks never finish and are restarted first"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			id, err := argument(c, "ID")
+			id, err := singleArgument(c, "ID")
 			if err != nil {
 				return err
 			}
@@ -77,13 +77,13 @@
 				Run: c.Duration("run"), Standing: c.Bool("standing"),
 			}
 			if err := s.Validate(); err != nil {
-				return exit{err, ExitInvalid}
+				return exitError{err, ExitInvalid}
 			}
-			v, err := call[node.JobView](ctx, c, http.MethodPost, "/v1/jobs", s)
+			v, err := callAdmin[node.JobView](ctx, c, http.MethodPost, "/v1/jobs", s)
 			if err != nil {
 				return err
 			}
-			return show(c, out, v, jobTable)
+			return printResult(c, out, v, writeJobTable)
 		},
 	}
 }
--- a/internal/proc/tool/model.go
+++ b/internal/proc/tool/model.go
@@ -32,10 +32,10 @@
 				Faults: c.StringSlice("fault"),
 			})
 			if err != nil {
-				return invalid(err)
+				return withExitCode(err)
 			}
 			if file := c.String("plot"); file != "" {
-				if err := plot(file, rows); err != nil {
+				if err := writeModelPlot(file, rows); err != nil {
 					return err
 				}
 			}
@@ -48,21 +48,21 @@
 	}
 }
 
-// invalid gives an error about what was asked for its exit code.
-func invalid(err error) error {
+// withExitCode gives an error about what was asked for its exit code.
+func withExitCode(err error) error {
 	if errors.Is(err, trial.ErrInvalidConfig) {
-		return exit{err, ExitInvalid}
+		return exitError{err, ExitInvalid}
 	}
 	return err
 }
 
-func plot(file string, rows []trial.Row) error {
+func writeModelPlot(file string, rows []trial.Row) error {
 	var drawn bytes.Buffer // whole before the file is touched
 	if err := trial.Plot(&drawn, rows); err != nil {
-		return invalid(err)
+		return withExitCode(err)
 	}
 	if err := os.WriteFile(file, drawn.Bytes(), 0o644); err != nil {
-		return exit{errors.Wrap(err, "bramleysail"), ExitInvalid}
+		return exitError{errors.Wrap(err, "bramleysail"), ExitInvalid}
 	}
 	return nil
 }
--- a/internal/proc/tool/report.go
+++ b/internal/proc/tool/report.go
@@ -31,10 +31,10 @@
 			}
 			r, err := report.Of(lines, c.Duration("from"), c.Duration("to"))
 			if err != nil {
-				return exit{err, ExitInvalid}
+				return exitError{err, ExitInvalid}
 			}
 			if file := c.String("plot"); file != "" {
-				if err := plotReport(file, r); err != nil {
+				if err := writeReportPlot(file, r); err != nil {
 					return err
 				}
 			}
@@ -46,14 +46,14 @@
 	}
 }
 
-func plotReport(file string, r *report.Report) error {
+func writeReportPlot(file string, r *report.Report) error {
 	var drawn bytes.Buffer // whole before the file is touched
 	err := r.Plot(&drawn)
 	if err == nil {
 		err = errors.Wrap(os.WriteFile(file, drawn.Bytes(), 0o644), "bramleysail")
 	}
 	if err != nil {
-		return exit{err, ExitInvalid}
+		return exitError{err, ExitInvalid}
 	}
 	return nil
 }
--- a/internal/proc/tool/standin.go
+++ b/internal/proc/tool/standin.go
@@ -30,20 +30,20 @@
 			{
 				Name: "store", Usage: "the key-value service", Flags: []cli.Flag{listen},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return standin(ctx, out, c, &http.Server{Handler: new(fakestore.Store).Handler()})
+					return runStandin(ctx, out, c, &http.Server{Handler: new(fakestore.Store).Handler()})
 				},
 			},
 			{
 				Name: "hosts", Usage: "the host list", Flags: []cli.Flag{listen},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return standin(ctx, out, c, &http.Server{Handler: new(fakehosts.List)})
+					return runStandin(ctx, out, c, &http.Server{Handler: new(fakehosts.List)})
 				},
 			},
 			{
 				Name: "target", Usage: "a target of a service",
 				Flags: []cli.Flag{listen, &cli.IntFlag{Name: "slots", Value: 8}, &cli.DurationFlag{Name: "work", Value: 20 * time.Millisecond}},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return standin(ctx, out, c, faketarget.New(c.Int("slots"), c.Duration("work")).Server())
+					return runStandin(ctx, out, c, faketarget.New(c.Int("slots"), c.Duration("work")).Server())
 				},
 			},
 			{
@@ -52,14 +52,14 @@
 					&cli.IntFlag{Name: "accel"}, &cli.DurationFlag{Name: "lag", Value: 500 * time.Millisecond}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					size := wire.Size{CPU: c.Int("cpu"), Mem: c.Int("mem"), Accel: c.Int("accel")}
-					return standin(ctx, out, c, &http.Server{Handler: fakeworker.New(size, c.Duration("lag")).Handler()})
+					return runStandin(ctx, out, c, &http.Server{Handler: fakeworker.New(size, c.Duration("lag")).Handler()})
 				},
 			},
 		},
 	}
 }
 
-func standin(ctx context.Context, out io.Writer, c *cli.Command, s *http.Server) error {
+func runStandin(ctx context.Context, out io.Writer, c *cli.Command, s *http.Server) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	l, err := net.Listen("tcp", c.String("listen"))
--- a/internal/proc/whole/batch_test.go
+++ b/internal/proc/whole/batch_test.go
@@ -61,7 +61,7 @@
 func TestBatchDeaths(t *testing.T) {
 	s := smallBatch(t, 4, 6, 3)
 	s.submit("books", 150, 300*time.Millisecond)
-	eventually(t, "some done", func() bool { return s.job(s.entries[0], "books").Done > 20 })
+	eventually(t, "some done", func() bool { return s.job(s.entries[0], "books").FinishedTasks > 20 })
 	_ = s.entries[1].cmd.Process.Kill()
 	_ = s.entries[2].cmd.Process.Signal(syscall.SIGSTOP)
 	eventually(t, "two members left", func() bool { return len(s.entries[0].status().Members) == 2 })
@@ -177,7 +177,7 @@
 	}
 	eventually(t, "one configuration everywhere", func() bool {
 		for _, e := range s.entries {
-			if int(e.status().Config) != high || len(e.status().Out) < 2 {
+			if int(e.status().ConfigVersion) != high || len(e.status().EvacuatedZones) < 2 {
 				return false
 			}
 		}
@@ -244,7 +244,7 @@
 		s.submit(id, 10, 200*time.Millisecond)
 		s.doneOnce(s.entries[2], id, 10)
 	}
-	if c := s.entries[0].status().Config; c != 2 {
+	if c := s.entries[0].status().ConfigVersion; c != 2 {
 		t.Errorf("configuration %d after one sheet and one move", c)
 	}
 }
