--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -20,30 +20,31 @@
 	"bramleysail.example/bramleysail/internal/route/pool"
 )
 
-// AdminCode is the stable name of an error of the administration API.
+// AdminCode identifies a kind of error of the administration API. Clients match it.
 type AdminCode string
 
-// The codes of the administration API.
+// Error codes of the administration API, with their HTTP status.
 const (
-	AdminUnauthorized    AdminCode = "token"        // 401
-	AdminInvalid         AdminCode = "invalid"      // 400
-	AdminConflict        AdminCode = "conflict"     // 409
-	AdminUnconfirmedDrop AdminCode = "shrunken"     // 409, may be confirmed
-	AdminUnknownZone     AdminCode = "unknown-zone" // 404
-	AdminNotFound        AdminCode = "not-found"    // 404
-	AdminBucketFull      AdminCode = "full"         // 503, nothing was changed
-	AdminStoreFailure    AdminCode = "store"        // 503, the outcome may be unknown
+	AdminUnauthorized    AdminCode = "token"        // 401: the administration token is missing or wrong
+	AdminInvalid         AdminCode = "invalid"      // 400: the request is invalid
+	AdminConflict        AdminCode = "conflict"     // 409: the configuration changed in between, or a different job has the id
+	AdminUnconfirmedDrop AdminCode = "shrunken"     // 409: the sheet removes half or more of what is declared and this was not confirmed
+	AdminUnknownZone     AdminCode = "unknown-zone" // 404: the failure domain is not declared
+	AdminNotFound        AdminCode = "not-found"    // 404: no such job
+	AdminBucketFull      AdminCode = "full"         // 503: the job's bucket is full; nothing was changed
+	AdminStoreFailure    AdminCode = "store"        // 503 or 500: the store failed or the job's bucket was not reached; the outcome may be unknown
 )
 
-// Problem is the error that the administration API answers with.
+// Problem is the body of an error response of the administration API.
 type Problem struct {
 	Code AdminCode `json:"code"`
-	Text string    `json:"text"`
+	Text string    `json:"text"` // for operators
 }
 
-// maxSheetBytes is the largest sheet in bytes.
+// maxSheetBytes is the largest size of the request that puts a sheet.
 const maxSheetBytes = 512 << 10
 
+// adminHandler returns the HTTP interface for administration: health, metrics, profiles and the API.
 func (n *Node) adminHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -64,7 +65,7 @@
 	return r
 }
 
-// requireToken lets only calls with the configured token through.
+// requireToken rejects calls without the administration token, if one is configured.
 func (n *Node) requireToken(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -77,25 +78,26 @@
 	})
 }
 
+// writeJSON writes a response with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// readyz answers 200 only while the balancer should send requests here.
+// readyz answers 200 while the load balancer should send requests to this process, otherwise 503.
 func (n *Node) readyz(w http.ResponseWriter, _ *http.Request) {
 	if !n.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// writeError turns an error of a layer below into an answer.
+// writeError writes an error of the configuration or the store as a Problem.
 func writeError(w http.ResponseWriter, err error) {
-	var faults conf.Errors
+	var configErrs conf.Errors
 	switch {
-	case errors.As(err, &faults):
-		writeJSON(w, http.StatusBadRequest, Problem{AdminInvalid, strings.Join(faults, "\n")})
+	case errors.As(err, &configErrs):
+		writeJSON(w, http.StatusBadRequest, Problem{AdminInvalid, strings.Join(configErrs, "\n")})
 	case errors.Is(err, sheet.ErrConflict):
 		writeJSON(w, http.StatusConflict, Problem{AdminConflict, err.Error()})
 	case errors.Is(err, sheet.ErrUnconfirmedRemoval):
@@ -109,12 +111,14 @@
 	}
 }
 
+// configView is the configuration in force as the administration API shows it.
 type configView struct {
 	Version        uint64            `json:"num"`
-	EvacuatedZones map[string]uint64 `json:"out"`
-	Text           string            `json:"text"`
+	EvacuatedZones map[string]uint64 `json:"out"`  // evacuated zones with the version that evacuated each
+	Text           string            `json:"text"` // of the sheet
 }
 
+// getSheet answers with the configuration as the store has it.
 func (n *Node) getSheet(w http.ResponseWriter, r *http.Request) {
 	c, err := sheet.LoadConfig(r.Context(), n.store)
 	if err != nil {
@@ -124,6 +128,7 @@
 	writeJSON(w, http.StatusOK, configView{c.Version, c.EvacuatedZones, c.SheetText})
 }
 
+// putSheet puts a sheet in force. This process applies it before the store's watch reports it.
 func (n *Node) putSheet(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Text    string `json:"text"`
@@ -142,6 +147,7 @@
 	writeJSON(w, http.StatusOK, configView{c.Version, c.EvacuatedZones, c.SheetText})
 }
 
+// setZoneEvacuated evacuates a failure domain (out) or ends its evacuation (back).
 func (n *Node) setZoneEvacuated(w http.ResponseWriter, r *http.Request) {
 	move := chi.URLParam(r, "move")
 	if move != "out" && move != "back" {
@@ -157,12 +163,13 @@
 	writeJSON(w, http.StatusOK, configView{c.Version, c.EvacuatedZones, c.SheetText})
 }
 
-// submitTimeout is how long a submission waits for the store.
+// submitTimeout is the longest time that a submission or cancellation waits to be stored.
 const submitTimeout = 5 * time.Second
 
-// maxJobBytes is the largest job in bytes as it is submitted.
+// maxJobBytes is the largest size of the request that submits a job.
 const maxJobBytes = 16 << 10
 
+// submitJob submits a job and answers once it is stored.
 func (n *Node) submitJob(w http.ResponseWriter, r *http.Request) {
 	var s jobs.Spec
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxJobBytes))
@@ -176,12 +183,14 @@
 	writeJob(w, n.batchHolder.Submit(ctx, hold.SubmitArgs{Spec: s}))
 }
 
+// cancelJob cancels a job and answers once that is stored.
 func (n *Node) cancelJob(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
 	defer cancel()
 	writeJob(w, n.batchHolder.Submit(ctx, hold.SubmitArgs{Spec: jobs.Spec{ID: chi.URLParam(r, "id")}, Cancel: true}))
 }
 
+// getJob answers with a job as the store has it.
 func (n *Node) getJob(w http.ResponseWriter, r *http.Request) {
 	writeJob(w, n.batchHolder.ReadJob(r.Context(), chi.URLParam(r, "id")))
 }
@@ -190,50 +199,52 @@
 type JobView struct {
 	Spec          jobs.Spec  `json:"spec"`
 	State         jobs.State `json:"state"`
-	Reason        string     `json:"why,omitempty"`
-	FinishedTasks int        `json:"done"`
-	PlacedTasks   int        `json:"run"` // tasks that a rack has
+	Reason        string     `json:"why,omitempty"` // why the job is parked
+	FinishedTasks int        `json:"done"`          // number of finished tasks
+	PlacedTasks   int        `json:"run"`           // number of tasks assigned to a rack
 }
 
-func writeJob(w http.ResponseWriter, rep hold.SubmitReply) {
-	switch rep.Code {
+// writeJob writes the result of a submission, a cancellation or a read of a job.
+func writeJob(w http.ResponseWriter, reply hold.SubmitReply) {
+	switch reply.Code {
 	case hold.CodeOK:
-		j := rep.Job
+		j := reply.Job
 		writeJSON(w, http.StatusOK, JobView{j.Spec, j.State, j.Why, int(j.Done.Count()), len(j.Place)})
 	case hold.CodeInvalid:
-		writeJSON(w, http.StatusBadRequest, Problem{AdminInvalid, rep.Text})
+		writeJSON(w, http.StatusBadRequest, Problem{AdminInvalid, reply.Text})
 	case hold.CodeIDTaken:
-		writeJSON(w, http.StatusConflict, Problem{AdminConflict, rep.Text})
+		writeJSON(w, http.StatusConflict, Problem{AdminConflict, reply.Text})
 	case hold.CodeNotFound:
-		writeJSON(w, http.StatusNotFound, Problem{AdminNotFound, rep.Text})
+		writeJSON(w, http.StatusNotFound, Problem{AdminNotFound, reply.Text})
 	case hold.CodeBucketFull:
-		writeJSON(w, http.StatusServiceUnavailable, Problem{AdminBucketFull, rep.Text})
+		writeJSON(w, http.StatusServiceUnavailable, Problem{AdminBucketFull, reply.Text})
 	default:
-		writeJSON(w, http.StatusServiceUnavailable, Problem{AdminStoreFailure, rep.Text})
+		writeJSON(w, http.StatusServiceUnavailable, Problem{AdminStoreFailure, reply.Text})
 	}
 }
 
-// Status is what a process tells operators of itself.
+// Status is the state of an entry process as the administration API shows it.
 type Status struct {
-	Node           string                   `json:"node"`
-	Zone           string                   `json:"zone"`
-	Ready          bool                     `json:"ready"`
-	Authorized     bool                     `json:"sure"` // may act on what it holds
-	ViewEpoch      uint64                   `json:"epoch"`
-	Members        []string                 `json:"members"`
-	ConfigVersion  uint64                   `json:"config"` // number of the configuration in force here
+	Node           string                   `json:"node"`    // the process's id
+	Zone           string                   `json:"zone"`    // failure domain of the process
+	Ready          bool                     `json:"ready"`   // the load balancer should send requests to it
+	Authorized     bool                     `json:"sure"`    // it may act on what it holds
+	ViewEpoch      uint64                   `json:"epoch"`   // of its view of the membership
+	Members        []string                 `json:"members"` // ids of the entry processes in that view
+	ConfigVersion  uint64                   `json:"config"`  // version of the configuration that it applies
 	EvacuatedZones []string                 `json:"out"`
-	Racks          []string                 `json:"racks"`   // held here
-	Buckets        []string                 `json:"buckets"` // held here
+	Racks          []string                 `json:"racks"`   // names of the racks that it holds
+	Buckets        []string                 `json:"buckets"` // names of the buckets that it holds
 	Services       map[string]ServiceStatus `json:"services"`
 }
 
-// ServiceStatus is a service as one process sees it.
+// ServiceStatus is the state of a service at one entry process.
 type ServiceStatus struct {
-	Queued  int                `json:"queued"`
-	Targets []pool.OwnedTarget `json:"targets"`
+	Queued  int                `json:"queued"`  // requests that wait for a slot at this process
+	Targets []pool.OwnedTarget `json:"targets"` // targets whose slots this process owns
 }
 
+// getStatus answers with the Status of this process.
 func (n *Node) getStatus(w http.ResponseWriter, _ *http.Request) {
 	view, c := n.membership.View(), n.configWatcher.Current()
 	s := Status{Node: n.id, Zone: n.settings.Zone, Ready: n.Ready(), Authorized: n.assigner.Authorized(), ViewEpoch: view.Epoch(),
@@ -245,8 +256,8 @@
 	for zone := range c.EvacuatedZones {
 		s.EvacuatedZones = append(s.EvacuatedZones, zone)
 	}
-	for name, rt := range n.services.snapshot() {
-		s.Services[name] = ServiceStatus{rt.broker.QueueLen(), rt.broker.Targets()}
+	for name, svc := range n.services.snapshot() {
+		s.Services[name] = ServiceStatus{svc.broker.QueueLen(), svc.broker.Targets()}
 	}
 	writeJSON(w, http.StatusOK, s)
 }
--- a/internal/proc/node/doc.go
+++ b/internal/proc/node/doc.go
@@ -1,2 +1,3 @@
-// Package node assembles a serving process from its parts and runs it.
+// Package node implements an entry process (bramleysail serve): it connects the components
+// that route requests and run batch jobs, and serves callers, peers and the administration API.
 package node
--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -27,44 +27,45 @@
 	"bramleysail.example/bramleysail/internal/route/relay"
 )
 
-// Node is one serving process; Start makes one and Stop ends it gracefully.
+// Node is a running entry process. Start creates one, Stop shuts it down gracefully and Abort
+// simulates its death.
 type Node struct {
 	settings conf.Settings
-	id       string
+	id       string // unique among the entry processes; new at each start
 	log      logr.Logger
 	store    store.Store
-	links    *link.Set
+	links    *link.Set // RPC links to the peers
 
-	membership     *member.Group
-	assigner       *shard.Assigner
-	configWatcher  *sheet.ConfigWatcher
+	membership     *member.Group        // membership of this process among the entry processes
+	assigner       *shard.Assigner      // reads and plans the tables that assign targets, racks and buckets
+	configWatcher  *sheet.ConfigWatcher // follows the operators' configuration
 	hosts          hostList
-	registry       *once.Registry
-	relay          *relay.Relay
+	registry       *once.Registry // records of non-idempotent requests
+	relay          *relay.Relay   // sends requests to targets
 	services       serviceSet
-	entry          *entry.Entry
-	batchHolder    *hold.Holder
-	listenerFailed chan struct{} // closed when a listener fails
+	entry          *entry.Entry  // answers callers' requests
+	batchHolder    *hold.Holder  // runs the racks and buckets that this process holds
+	listenerFailed chan struct{} // closed when an HTTP listener fails
 
 	scope           tally.Scope
 	metricsHandler  http.Handler
-	metricsCloser   io.Closer
-	shutdownTracing func(context.Context) error
+	metricsCloser   io.Closer                   // closes scope
+	shutdownTracing func(context.Context) error // flushes the trace spans and ends their export
 
 	peerServer   *link.Server
 	callerServer *http.Server
 	adminServer  *http.Server
-	addrs        [3]string
+	addrs        [3]string // addresses of the listeners, by callerListener, peerListener and adminListener
 
-	stopping         atomic.Bool
-	cancelServing    context.CancelFunc
-	cancelBackground context.CancelFunc // of what outlives the serving of requests
-	servingWG        sync.WaitGroup
-	backgroundWG     sync.WaitGroup
+	stopping         atomic.Bool        // set when Stop or Abort begins
+	cancelServing    context.CancelFunc // ends what is needed only while requests are served
+	cancelBackground context.CancelFunc // ends what requests in flight still need
+	servingWG        sync.WaitGroup     // goroutines that end before cancelBackground is called
+	backgroundWG     sync.WaitGroup     // goroutines that end after cancelBackground is called
 }
 
-// Start listens, joins the other processes and serves; the error names the listener
-// that could not be had.
+// Start opens the listeners, joins the other entry processes and serves. If a listener can't
+// be opened, the error names its address.
 func Start(s conf.Settings, log logr.Logger) (*Node, error) {
 	name := s.Name
 	if name == "" {
@@ -92,12 +93,14 @@
 	return n, nil
 }
 
+// Indexes of the listeners in Node.addrs and in the result of openListeners.
 const (
 	callerListener = iota
 	peerListener
 	adminListener
 )
 
+// openListeners opens all listeners, or none if one fails.
 func (n *Node) openListeners() ([]net.Listener, error) {
 	var all []net.Listener
 	for i, addr := range []string{n.settings.Listen.Caller, n.settings.Listen.Peer, n.settings.Listen.Admin} {
@@ -118,6 +121,7 @@
 	}
 }
 
+// newComponents creates the components and connects them. Nothing runs yet.
 func (n *Node) newComponents() {
 	n.membership = member.New(member.Options{
 		Self:              member.Member{ID: n.id, Addr: n.addrs[peerListener], Zone: n.settings.Zone, State: member.StateLive},
@@ -150,17 +154,19 @@
 	})
 }
 
+// startServing starts the goroutines and servers of the process.
 func (n *Node) startServing(lis []net.Listener) {
-	// Requests end first, then what they need: the late context outlives the other.
-	ctx, cancel := context.WithCancel(context.Background())
-	late, lateCancel := context.WithCancel(context.Background())
-	n.cancelServing, n.cancelBackground = cancel, lateCancel
-	n.services.init(n, late)
-	n.backgroundWG.Go(func() { n.membership.Run(late) })
-	n.backgroundWG.Go(func() { n.assigner.Run(late) })
-	n.backgroundWG.Go(func() { n.configWatcher.Run(late, n.settings.Worker.MaxConfigAge) })
-	n.backgroundWG.Go(func() { n.batchHolder.Run(late) })
-	n.servingWG.Go(func() { n.pollHosts(ctx) })
+	// At a stop, requests end before the components that they need. Therefore the background
+	// context outlives the serving context.
+	serving, cancelServing := context.WithCancel(context.Background())
+	background, cancelBackground := context.WithCancel(context.Background())
+	n.cancelServing, n.cancelBackground = cancelServing, cancelBackground
+	n.services.init(n, background)
+	n.backgroundWG.Go(func() { n.membership.Run(background) })
+	n.backgroundWG.Go(func() { n.assigner.Run(background) })
+	n.backgroundWG.Go(func() { n.configWatcher.Run(background, n.settings.Worker.MaxConfigAge) })
+	n.backgroundWG.Go(func() { n.batchHolder.Run(background) })
+	n.servingWG.Go(func() { n.pollHosts(serving) })
 	n.callerServer = &http.Server{Handler: n.entry.Handler(), ReadHeaderTimeout: n.settings.Limit.ReadTimeout}
 	n.adminServer = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: n.settings.Limit.ReadTimeout}
 	n.servingWG.Go(func() { n.serveHTTP(n.callerServer, lis[callerListener]) })
@@ -168,33 +174,34 @@
 	n.backgroundWG.Go(func() { n.peerServer.Serve(lis[peerListener]) })
 }
 
+// serveHTTP serves a listener until the server is closed. If the listener fails, it closes listenerFailed.
 func (n *Node) serveHTTP(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		n.log.Error(err, "listener lost", "addr", l.Addr().String())
+		n.log.Error(err, "HTTP listener failed", "addr", l.Addr().String())
 		close(n.listenerFailed)
 	}
 }
 
-// ID returns the process's id among its peers, new at each start.
+// ID returns the process's id among the entry processes. Each start has a new one.
 func (n *Node) ID() string { return n.id }
 
-// CallerAddr returns the address on which callers are served.
+// CallerAddr returns the address (host:port) of the callers' listener.
 func (n *Node) CallerAddr() string { return n.addrs[callerListener] }
 
-// AdminAddr returns the address of the administration API.
+// AdminAddr returns the address (host:port) of the administration API.
 func (n *Node) AdminAddr() string { return n.addrs[adminListener] }
 
-// ListenerFailed is closed when the process can't serve any more.
+// ListenerFailed returns a channel that is closed when an HTTP listener fails.
 func (n *Node) ListenerFailed() <-chan struct{} { return n.listenerFailed }
 
-// Ready reports whether the balancer should send requests here.
+// Ready reports whether the load balancer should send requests to this process.
 func (n *Node) Ready() bool {
 	return !n.stopping.Load() && n.assigner.Authorized() && n.configWatcher.Current().Version > 0
 }
 
-// Stop ends the process gracefully: readiness goes first; while the balancer still
-// sends, requests are served; those in flight end; then what is held is handed over
-// and the membership closed.
+// Stop shuts the process down gracefully. It reports the process as not ready, serves requests for
+// the linger period in which the load balancer may still send some, waits up to the grace period for
+// requests in flight, hands targets, racks and buckets over to peers and closes the membership.
 func (n *Node) Stop(ctx context.Context) error {
 	if n.stopping.Swap(true) {
 		return nil
@@ -213,7 +220,7 @@
 	return errors.Wrap(err, "node: requests were cut after the grace period")
 }
 
-// stopBackground stops what is left once no request needs it.
+// stopBackground ends everything that was needed until the last request had ended.
 func (n *Node) stopBackground(ctx context.Context) {
 	n.cancelBackground()
 	n.peerServer.Close()
@@ -224,12 +231,12 @@
 	n.relay.Close()
 	_ = n.metricsCloser.Close()
 	if err := n.shutdownTracing(ctx); err != nil {
-		n.log.Info("traces not flushed", "err", err.Error())
+		n.log.Info("trace spans not flushed", "err", err.Error())
 	}
 }
 
-// Abort ends the process as if it had died: requests are cut, nothing is handed over
-// and its lease is left to lapse. The demo uses it.
+// Abort ends the process as if it had crashed: requests in flight are aborted, nothing is handed
+// over and the membership's lease is left to expire. The demo uses it.
 func (n *Node) Abort() {
 	if n.stopping.Swap(true) {
 		return
--- a/internal/proc/node/node_test.go
+++ b/internal/proc/node/node_test.go
@@ -26,7 +26,7 @@
 zones = ["heredia"]
 `
 
-// sendJSON sends a body as JSON and returns the answer's status and text.
+// sendJSON sends a request with a JSON body and returns the status and body of the response.
 func sendJSON(t *testing.T, method, url string, body any) (int, string) {
 	t.Helper()
 	data, err := json.Marshal(body)
@@ -49,13 +49,13 @@
 	return resp.StatusCode, string(text)
 }
 
-// An operator puts a sheet through a process and submits a job there, before the process
-// has heard of the sheet from the store. The job's kind is declared and must be known.
+// An operator puts a sheet through a process and submits a job of a kind that it declares through the
+// same process, before the store's watch reports the sheet. The process must accept the job kind.
 func TestSubmitJobAfterPutSheet(t *testing.T) {
 	fake := new(fakestore.Store).Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/kv/config" && r.URL.Query().Has("recurse") {
-			<-r.Context().Done() // the process never hears of a configuration
+			<-r.Context().Done() // no watch ever reports a configuration
 			return
 		}
 		fake.ServeHTTP(w, r)
@@ -74,10 +74,10 @@
 	t.Cleanup(n.Abort)
 	admin := "http://" + n.AdminAddr()
 	if status, text := sendJSON(t, http.MethodPut, admin+"/v1/sheet", map[string]string{"text": sheetText}); status != http.StatusOK {
-		t.Fatalf("the sheet: %d %s", status, text)
+		t.Fatalf("PUT /v1/sheet: status %d, body %s", status, text)
 	}
 	job := jobs.Spec{ID: "audit-1", Kind: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: time.Second}
 	if status, text := sendJSON(t, http.MethodPost, admin+"/v1/jobs", job); status == http.StatusBadRequest {
-		t.Errorf("the job: %d %s", status, text)
+		t.Errorf("POST /v1/jobs: status %d, body %s", status, text)
 	}
 }
--- a/internal/proc/node/peer.go
+++ b/internal/proc/node/peer.go
@@ -12,79 +12,82 @@
 	"bramleysail.example/bramleysail/internal/route/once"
 )
 
+// hostListClient is the HTTP client that reads the host list.
 var hostListClient = &http.Client{}
 
-// errUnknownService says that the service isn't known here yet; the peer may ask again.
+// errUnknownService is returned for a service that this process doesn't know yet. The peer may
+// repeat the call.
 var errUnknownService = errors.New("node: service not known here")
 
-// Peer is what the other entry processes call over net/rpc.
+// Peer is the net/rpc service for the other entry processes.
 type Peer struct {
 	node *Node
 }
 
-// Beat exchanges heartbeats.
+// Beat handles a peer's heartbeat and answers with one of this process.
 func (p *Peer) Beat(in member.Heartbeat, out *member.Heartbeat) error {
 	p.node.membership.HandleHeartbeat(in)
 	*out = p.node.membership.Heartbeat()
 	return nil
 }
 
-// withBroker runs f on the broker of a service.
+// withBroker calls f with the broker of a service and sets out to its result.
 func withBroker[Out any](p *Peer, service string, out *Out, f func(*broker.Broker) Out) error {
-	rt := p.node.services.get(service)
-	if rt == nil {
+	svc := p.node.services.get(service)
+	if svc == nil {
 		return errUnknownService
 	}
-	*out = f(rt.broker)
+	*out = f(svc.broker)
 	return nil
 }
 
-// Ask asks for slots.
+// Ask answers a peer's request for permits, each for one slot of a target owned here.
 func (p *Peer) Ask(in broker.AskArgs, out *broker.AskReply) error {
 	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.AskReply { return b.HandleAsk(in) })
 }
 
-// Free gives a permit back.
+// Free takes back a permit that a peer no longer uses.
 func (p *Peer) Free(in broker.FreeArgs, out *bool) error {
 	return withBroker(p, in.Service, out, func(b *broker.Broker) bool { b.HandleFree(in); return true })
 }
 
-// Claim takes a target over.
+// Claim hands a target over to the peer that takes it over.
 func (p *Peer) Claim(in broker.ClaimArgs, out *broker.ClaimReply) error {
 	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.ClaimReply { return b.HandleClaim(in) })
 }
 
-// Held asks for the permits in use of a lost owner's target.
+// Held reports the permits that this process uses of a target whose owner was lost.
 func (p *Peer) Held(in broker.HeldArgs, out *broker.HeldReply) error {
 	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.HeldReply { return b.HandleHeld(in) })
 }
 
-// Begin enters a non-idempotent request.
+// Begin records a non-idempotent request before the peer sends it.
 func (p *Peer) Begin(in once.BeginArgs, out *once.BeginReply) error {
 	*out = p.node.registry.HandleBegin(in)
 	return nil
 }
 
-// Finish tells how a non-idempotent request ended.
+// Finish records how a non-idempotent request ended.
 func (p *Peer) Finish(in once.FinishArgs, out *bool) error {
 	p.node.registry.HandleFinish(in)
 	*out = true
 	return nil
 }
 
-// Pull asks for the records whose home or witness the asker is.
+// Pull returns the records of non-idempotent requests for which the calling peer is the home or
+// the witness.
 func (p *Peer) Pull(in once.PullArgs, out *once.PullReply) error {
 	*out = p.node.registry.HandlePull(in)
 	return nil
 }
 
-// Yield gives up a rack or a bucket.
+// Yield gives up a rack or a bucket to the peer that claims it.
 func (p *Peer) Yield(in hold.YieldArgs, out *bool) error {
 	*out = p.node.batchHolder.HandleYield(in)
 	return nil
 }
 
-// Submit takes in a job, or its cancellation, for a bucket that is held here.
+// Submit accepts a job or the cancellation of one, for a bucket that this process holds.
 func (p *Peer) Submit(in hold.SubmitArgs, out *hold.SubmitReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
@@ -92,7 +95,7 @@
 	return nil
 }
 
-// Sync answers the reports of racks.
+// Sync handles the reports of a peer's racks and answers each.
 func (p *Peer) Sync(in hold.SyncArgs, out *hold.SyncReply) error {
 	*out = p.node.batchHolder.HandleReports(in)
 	return nil
--- a/internal/proc/node/services.go
+++ b/internal/proc/node/services.go
@@ -17,136 +17,144 @@
 	"bramleysail.example/bramleysail/internal/route/entry"
 )
 
-const slotTablePrefix = "slots." // before the name of a service
+// slotTablePrefix, followed by the name of a service, names the table that assigns its targets.
+const slotTablePrefix = "slots."
 
-// serviceSet holds the services that the process serviceSet to.
+// serviceSet holds the services to which the process routes requests.
 type serviceSet struct {
 	node      *Node
-	brokerCtx context.Context
-	brokerWG  sync.WaitGroup
+	brokerCtx context.Context // ends the brokers and their calls
+	brokerWG  sync.WaitGroup  // brokers, and synchronizations of the registry with new views
 
 	mu     sync.Mutex
 	byName map[string]*service
-	view   member.View
+	view   member.View // the view that the brokers have
 }
 
-// service is a service that is or was declared. One that isn't any more keeps its broker:
-// its slots are lent and in use, and it may be declared again.
+// service is a service that is or was declared in the sheet. A service that is no longer
+// declared keeps its broker, as its slots may still be lent and in use and as it may be
+// declared again.
 type service struct {
-	declared    sheet.Service
-	undeclared  bool
+	declared    sheet.Service // its latest declaration
+	undeclared  bool          // the sheet in force doesn't declare it
 	broker      *broker.Broker
 	retryBudget *entry.RetryBudget
 }
 
-func (r *serviceSet) init(n *Node, ctx context.Context) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.node, r.brokerCtx, r.byName = n, ctx, map[string]*service{}
+// init prepares an empty set whose brokers run until ctx ends.
+func (s *serviceSet) init(n *Node, ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.node, s.brokerCtx, s.byName = n, ctx, map[string]*service{}
 }
 
-func (r *serviceSet) wait() { r.brokerWG.Wait() }
+// wait waits until the brokers have ended.
+func (s *serviceSet) wait() { s.brokerWG.Wait() }
 
-// snapshot returns a copy of every route as it is now.
-func (r *serviceSet) snapshot() map[string]*service {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	out := make(map[string]*service, len(r.byName))
-	for k, v := range r.byName {
-		now := *v
-		out[k] = &now
+// snapshot returns copies of all services, by name.
+func (s *serviceSet) snapshot() map[string]*service {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make(map[string]*service, len(s.byName))
+	for name, svc := range s.byName {
+		dup := *svc
+		out[name] = &dup
 	}
 	return out
 }
 
-func (r *serviceSet) get(service string) *service {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.byName[service]
+// get returns a service, or nil if it was never declared.
+func (s *serviceSet) get(name string) *service {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.byName[name]
 }
 
-// applyConfig brings the services in line with a configuration.
-func (r *serviceSet) applyConfig(c sheet.Config) {
-	s := c.Sheet()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, v := range s.Service {
-		rt := r.byName[v.Name]
-		if rt == nil {
-			rt = r.startBroker(v.Name)
+// applyConfig adopts the services that a configuration declares, and starts brokers for new ones.
+func (s *serviceSet) applyConfig(c sheet.Config) {
+	declared := c.Sheet()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, decl := range declared.Service {
+		svc := s.byName[decl.Name]
+		if svc == nil {
+			svc = s.startBroker(decl.Name)
 		}
-		rt.declared = v
-		rt.broker.SetLimits(v.Timeout, v.Wait, borrowerConns(v, len(r.view.Members())))
+		svc.declared = decl
+		svc.broker.SetLimits(decl.Timeout, decl.Wait, borrowerConns(decl, len(s.view.Members())))
 	}
-	for name, rt := range r.byName {
-		_, ok := s.FindService(name)
-		rt.undeclared = !ok
+	for name, svc := range s.byName {
+		_, ok := declared.FindService(name)
+		svc.undeclared = !ok
 	}
 }
 
-// startBroker starts a service's broker; the lock is held.
-func (r *serviceSet) startBroker(name string) *service {
+// startBroker adds a service and starts its broker. The caller holds s.mu.
+func (s *serviceSet) startBroker(name string) *service {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(r.node.id + name))
+	_, _ = h.Write([]byte(s.node.id + name))
 	b := broker.New(broker.Options{
 		Service:        name,
-		Group:          r.node.membership,
-		Links:          r.node.links,
-		RPCTimeout:     r.node.settings.Peer.Timeout,
-		OwnershipValid: r.node.assigner.Authorized,
-		Authorized:     r.node.membership.Authorized,
-		Owner:          func(target string) string { return r.node.assigner.HolderOf(slotTablePrefix+name, target) },
-		Probe:          r.node.probeTarget,
-		Log:            r.node.log,
+		Group:          s.node.membership,
+		Links:          s.node.links,
+		RPCTimeout:     s.node.settings.Peer.Timeout,
+		OwnershipValid: s.node.assigner.Authorized,
+		Authorized:     s.node.membership.Authorized,
+		Owner:          func(target string) string { return s.node.assigner.HolderOf(slotTablePrefix+name, target) },
+		Probe:          s.node.probeTarget,
+		Log:            s.node.log,
 		Seed:           h.Sum64(),
 	})
-	b.SetView(member.View{}, r.view)
-	rt := &service{broker: b, retryBudget: &entry.RetryBudget{}}
-	r.byName[name] = rt
-	r.brokerWG.Go(func() { b.Run(r.brokerCtx) })
-	return rt
+	b.SetView(member.View{}, s.view)
+	svc := &service{broker: b, retryBudget: &entry.RetryBudget{}}
+	s.byName[name] = svc
+	s.brokerWG.Go(func() { b.Run(s.brokerCtx) })
+	return svc
 }
 
-// borrowerConns returns how many connections, and so permits, one borrower may have at one
-// target. Half of what the owner leaves stays free, for the connections of processes
-// that died or are paused and aren't closed yet.
-func borrowerConns(v sheet.Service, members int) int {
-	return max(1, (v.Conns-v.Slots)/(2*max(1, members-1)))
+// borrowerConns returns how many connections, and therefore permits, one borrower may have at one
+// target. Half of the connections that the owner doesn't use stay free for connections of dead or
+// paused processes that aren't closed yet.
+func borrowerConns(decl sheet.Service, members int) int {
+	return max(1, (decl.Conns-decl.Slots)/(2*max(1, members-1)))
 }
 
-// lookUpService returns what a request to the service needs.
-func (n *Node) lookUpService(service string) (entry.Service, bool) {
+// lookUpService returns the service with the name, if the sheet in force declares it.
+func (n *Node) lookUpService(name string) (entry.Service, bool) {
 	n.services.mu.Lock()
 	defer n.services.mu.Unlock()
-	rt := n.services.byName[service]
-	if rt == nil || rt.undeclared {
+	svc := n.services.byName[name]
+	if svc == nil || svc.undeclared {
 		return entry.Service{}, false
 	}
 	return entry.Service{
-		Name: service, Broker: rt.broker, RetryBudget: rt.retryBudget,
-		Timeout: rt.declared.Timeout, Slots: rt.declared.Slots, BorrowerConns: borrowerConns(rt.declared, len(n.services.view.Members())),
+		Name: name, Broker: svc.broker, RetryBudget: svc.retryBudget,
+		Timeout: svc.declared.Timeout, Slots: svc.declared.Slots, BorrowerConns: borrowerConns(svc.declared, len(n.services.view.Members())),
 	}, true
 }
 
+// probeTarget checks a target's health. Its results are those of relay.Relay.Probe.
 func (n *Node) probeTarget(target string) (bool, int, bool) {
 	ctx, cancel := context.WithTimeout(n.services.brokerCtx, n.settings.Peer.Timeout)
 	defer cancel()
 	return n.relay.Probe(ctx, target)
 }
 
+// onConfigChange applies a new configuration to the services and their targets.
 func (n *Node) onConfigChange(c sheet.Config) {
 	n.services.applyConfig(c)
 	n.syncBrokers()
 	n.assigner.WakePlanner()
 }
 
+// onViewChange passes a new membership view to the brokers and the registry.
 func (n *Node) onViewChange(v member.View) {
 	n.services.mu.Lock()
 	old := n.services.view
 	n.services.view = v
-	for _, rt := range n.services.byName {
-		rt.broker.SetView(old, v)
-		rt.broker.SetLimits(rt.declared.Timeout, rt.declared.Wait, borrowerConns(rt.declared, len(v.Members())))
+	for _, svc := range n.services.byName {
+		svc.broker.SetView(old, v)
+		svc.broker.SetLimits(svc.declared.Timeout, svc.declared.Wait, borrowerConns(svc.declared, len(v.Members())))
 	}
 	ctx := n.services.brokerCtx
 	n.services.brokerWG.Go(func() { n.registry.SyncView(ctx, v) })
@@ -154,123 +162,132 @@
 	n.assigner.WakePlanner()
 }
 
-// onJoin reads the tables anew, as others may have taken over what this process held.
+// onJoin drops the brokers' targets and reads the tables again. Before the join, peers may have
+// taken over what this process held.
 func (n *Node) onJoin() {
-	for _, rt := range n.services.snapshot() {
-		rt.broker.DropTargets()
+	for _, svc := range n.services.snapshot() {
+		svc.broker.DropTargets()
 	}
 	ctx, cancel := context.WithTimeout(n.services.brokerCtx, n.settings.Store.Timeout)
 	defer cancel()
 	if err := n.assigner.ReadTables(ctx); err != nil {
-		n.log.Info("tables not read", "err", err.Error())
+		n.log.Info("assignment tables not read", "err", err.Error())
 	}
 }
 
+// onTableChange applies a new revision of a table.
 func (n *Node) onTableChange(string, shard.Table) {
 	n.syncBrokers()
 }
 
-// syncBrokers brings what the brokers hold in line with tables, host list and configuration.
+// syncBrokers makes each broker take over the targets that its table assigns to this process, and
+// marks those as leaving that must not get new requests by the host list or the configuration.
 func (n *Node) syncBrokers() {
 	c := n.configWatcher.Current()
 	list := n.hosts.current()
-	for name, rt := range n.services.snapshot() {
-		mine := n.assigner.OwnAssignments(slotTablePrefix + name)
-		if mine == nil {
+	for name, svc := range n.services.snapshot() {
+		assigned := n.assigner.OwnAssignments(slotTablePrefix + name)
+		if assigned == nil {
 			continue
 		}
-		rt.broker.TakeOverAssigned(n.services.brokerCtx, mine, rt.declared.Slots)
-		usable := usableTargets(list, rt.declared, c)
-		for _, t := range rt.broker.Targets() {
-			rt.broker.SetLeaving(t.Addr, !usable[t.Addr])
+		svc.broker.TakeOverAssigned(n.services.brokerCtx, assigned, svc.declared.Slots)
+		usable := usableTargets(list, svc.declared, c)
+		for _, t := range svc.broker.Targets() {
+			svc.broker.SetLeaving(t.Addr, !usable[t.Addr])
 		}
 	}
 }
 
-// usableTargets returns the targets of a service that may get requests: live by the
-// host list, in a failure domain that the service may use and that isn't out, and not
-// named as leaving by an operator.
-func usableTargets(list []hosts.Host, v sheet.Service, c sheet.Config) map[string]bool {
-	ok := map[string]bool{}
+// usableTargets reports, for each target of a service in the host list, whether it may get new
+// requests. The target has to be live, in a failure domain that the service may use and that isn't
+// evacuated, and not declared as leaving by an operator.
+func usableTargets(list []hosts.Host, decl sheet.Service, c sheet.Config) map[string]bool {
+	usable := map[string]bool{}
 	for _, h := range list {
-		if h.Kind != hosts.KindTarget || h.Service != v.Name {
+		if h.Kind != hosts.KindTarget || h.Service != decl.Name {
 			continue
 		}
-		ok[h.Addr] = h.State == hosts.StateLive && slices.Contains(v.Zones, h.Zone) &&
-			c.IsZoneUsable(h.Zone) && !slices.Contains(v.Leaving, h.Addr)
+		usable[h.Addr] = h.State == hosts.StateLive && slices.Contains(decl.Zones, h.Zone) &&
+			c.IsZoneUsable(h.Zone) && !slices.Contains(decl.Leaving, h.Addr)
 	}
-	return ok
+	return usable
 }
 
-// shardItems returns what there is to be held: the targets of each service, racks and buckets.
+// shardItems returns, by table, the items to assign: the targets of each declared service, racks
+// and buckets.
 func (n *Node) shardItems() map[string][]shard.Item {
 	out := n.batchHolder.Items()
 	services := n.services.snapshot()
 	for _, h := range n.hosts.current() {
-		if rt := services[h.Service]; rt != nil && !rt.undeclared && h.Kind == hosts.KindTarget {
+		if svc := services[h.Service]; svc != nil && !svc.undeclared && h.Kind == hosts.KindTarget {
 			out[slotTablePrefix+h.Service] = append(out[slotTablePrefix+h.Service], shard.Item{Name: h.Addr, Zone: h.Zone})
 		}
 	}
 	return out
 }
 
-// currentLoad returns what heartbeats tell of the services here.
+// currentLoad returns the load of each service at this process, for heartbeats.
 func (n *Node) currentLoad() map[string]member.ServiceLoad {
 	out := map[string]member.ServiceLoad{}
-	for name, rt := range n.services.snapshot() {
-		out[name] = rt.broker.Load()
+	for name, svc := range n.services.snapshot() {
+		out[name] = svc.broker.Load()
 	}
 	return out
 }
 
+// onPeerLoad passes the load from a peer's heartbeat to the brokers.
 func (n *Node) onPeerLoad(id string, load map[string]member.ServiceLoad) {
 	for name, l := range load {
-		if rt := n.services.get(name); rt != nil {
-			rt.broker.HandleHeartbeat(id, l)
+		if svc := n.services.get(name); svc != nil {
+			svc.broker.HandleHeartbeat(id, l)
 		}
 	}
 }
 
-// awaitHandover waits until peers have claimed what this leaving process owns.
-func (r *serviceSet) awaitHandover(ctx context.Context) {
+// awaitHandover waits until live peers have claimed everything that this leaving process owns, but
+// no longer than handoverTimeout.
+func (s *serviceSet) awaitHandover(ctx context.Context) {
 	t := time.NewTicker(50 * time.Millisecond)
 	defer t.Stop()
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	for r.ownedCount() > 0 && len(r.node.membership.View().LiveIDs()) > 0 {
+	for s.ownedCount() > 0 && len(s.node.membership.View().LiveIDs()) > 0 {
 		select {
 		case <-ctx.Done():
-			r.node.log.Info("not everything was handed over; the rest moves when the lease is closed", "left", r.ownedCount())
+			s.node.log.Info("not everything was handed over; the rest moves when the lease is closed", "left", s.ownedCount())
 			return
 		case <-t.C:
 		}
 	}
 }
 
+// handoverTimeout is the longest time that a leaving process waits for its peers' claims.
 const handoverTimeout = 5 * time.Second
 
-func (r *serviceSet) ownedCount() int {
-	sum := r.node.batchHolder.CountHeld()
-	for _, rt := range r.snapshot() {
-		sum += len(rt.broker.Targets())
+// ownedCount returns the number of targets, racks and buckets that this process owns.
+func (s *serviceSet) ownedCount() int {
+	count := s.node.batchHolder.CountHeld()
+	for _, svc := range s.snapshot() {
+		count += len(svc.broker.Targets())
 	}
-	return sum
+	return count
 }
 
-// hostList is the last host list that was read.
+// hostList holds the host list in use.
 type hostList struct {
 	mu    sync.Mutex
-	hosts []hosts.Host
+	hosts []hosts.Host // sorted by address
 }
 
+// current returns the host list in use.
 func (h *hostList) current() []hosts.Host {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hosts
 }
 
-// replace takes in a new list. An empty one, after one that wasn't, is taken for a fault
-// of the list's source: believing it would stop every service at once.
+// replace puts a new list into use and reports whether it did. It rejects an empty list after one
+// with hosts as a fault of the list's source, because it would stop every service at once.
 func (h *hostList) replace(list []hosts.Host) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -282,10 +299,11 @@
 	return true
 }
 
+// pollHosts reads the host list periodically until ctx ends.
 func (n *Node) pollHosts(ctx context.Context) {
 	for ctx.Err() == nil {
-		cctx, cancel := context.WithTimeout(ctx, n.settings.Hosts.Interval)
-		list, err := hosts.Read(cctx, hostListClient, n.settings.Hosts.URL)
+		readCtx, cancel := context.WithTimeout(ctx, n.settings.Hosts.Interval)
+		list, err := hosts.Read(readCtx, hostListClient, n.settings.Hosts.URL)
 		cancel()
 		switch {
 		case err != nil && ctx.Err() == nil:
