--- a/internal/proc/tool/admin.go
+++ b/internal/proc/tool/admin.go
@@ -24,19 +24,21 @@
 )
 
 const (
-	adminTimeout = 10 * time.Second
-	tokenEnv     = "BRAMLEYSAIL_TOKEN"
+	adminTimeout = 10 * time.Second    // of one call of the administration API
+	tokenEnv     = "BRAMLEYSAIL_TOKEN" // environment variable that holds the administration token
 )
 
+// adminFlags returns a command's own flags followed by those of every command that calls the
+// administration API.
 func adminFlags(more ...cli.Flag) []cli.Flag {
 	return append(more,
 		&cli.StringFlag{Name: "admin", Value: "127.0.0.1:8082", Usage: "administration `ADDRESS` of any entry process"},
 		&cli.StringFlag{Name: "token", Sources: cli.EnvVars(tokenEnv), Usage: "administration token"},
-		&cli.StringFlag{Name: "output", Value: "table", Usage: "table or json"},
+		&cli.StringFlag{Name: "output", Value: "table", Usage: "output format, table or json"},
 	)
 }
 
-// callAdmin makes one callAdmin of the administration API and decodes its answer into out.
+// callAdmin calls the administration API once and returns the decoded answer.
 func callAdmin[Out any](ctx context.Context, c *cli.Command, method, path string, body any) (Out, error) {
 	var out Out
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
@@ -65,16 +67,17 @@
 	return out, errors.Wrap(json.NewDecoder(resp.Body).Decode(&out), "bramleysail")
 }
 
-// noAnswerError says what a call without an answer means: a change may be in force unless
-// the process couldn't even be reached.
+// noAnswerError returns the error for a call without an answer. A change may be in force, unless the
+// connection to the process couldn't be opened.
 func noAnswerError(method string, err error) error {
-	var op *net.OpError
-	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
-		return exitError{errors.Wrap(err, "bramleysail: not reached; nothing was changed"), ExitFailed}
+	var opErr *net.OpError
+	if method == http.MethodGet || errors.As(err, &opErr) && opErr.Op == "dial" {
+		return exitError{errors.Wrap(err, "bramleysail: no answer; nothing was changed"), ExitFailed}
 	}
-	return exitError{errors.Wrap(err, "bramleysail: no answer; a change may be in force, read back"), ExitOutcomeUnknown}
+	return exitError{errors.Wrap(err, "bramleysail: no answer; the change may be in force, read it back"), ExitOutcomeUnknown}
 }
 
+// problemExitCode returns the exit code for an error of the administration API.
 func problemExitCode(code node.AdminCode) int {
 	switch code {
 	case node.AdminInvalid, node.AdminUnknownZone, node.AdminNotFound:
@@ -87,7 +90,8 @@
 	return ExitFailed
 }
 
-// printResult prints v as JSON when asked for, or else by table.
+// printResult prints v in the format of the flag --output: as JSON, or as the table that the function
+// table writes, with tabs between its columns.
 func printResult[T any](c *cli.Command, out io.Writer, v T, table func(io.Writer, T)) error {
 	switch c.String("output") {
 	case "json":
@@ -102,13 +106,14 @@
 	return exitError{errors.Errorf("bramleysail: --output: %q is neither table nor json", c.String("output")), ExitInvalid}
 }
 
-// configView is the administration API's answer about the configuration.
+// configView is the configuration in force as the administration API shows it.
 type configView struct {
 	Version        uint64            `json:"num"`
-	EvacuatedZones map[string]uint64 `json:"out"`
-	Text           string            `json:"text"`
+	EvacuatedZones map[string]uint64 `json:"out"`  // evacuated zones with the version that evacuated each
+	Text           string            `json:"text"` // of the sheet
 }
 
+// evacuatedText returns the names of the evacuated zones in order, or none.
 func (c configView) evacuatedText() string {
 	var zones []string
 	for z := range c.EvacuatedZones {
@@ -121,6 +126,7 @@
 	return strings.Join(zones, " ")
 }
 
+// writeConfigTable writes the rows of a configuration for printResult.
 func writeConfigTable(w io.Writer, c configView) {
 	fmt.Fprintf(w, "configuration\t%d\nout\t%s\n", c.Version, c.evacuatedText())
 }
@@ -128,7 +134,7 @@
 func sheetCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "sheet",
-		Usage: "read or replace the day's sheet",
+		Usage: "read or replace the sheet",
 		Commands: []*cli.Command{
 			{
 				Name: "show", Usage: "print the sheet in force", Flags: adminFlags(),
@@ -145,8 +151,8 @@
 			},
 			{
 				Name: "put", Usage: "put a sheet in force", ArgsUsage: "FILE",
-				Description: "The sheet's base is the number of the configuration that it was drawn from.\nExample: bramleysail sheet put examples/association.sheet.toml",
-				Flags:       adminFlags(&cli.BoolFlag{Name: "confirm", Usage: "the sheet is meant to drop half or more of what is declared"}),
+				Description: "The sheet's base is the version of the configuration from which it was written.\nExample: bramleysail sheet put examples/association.sheet.toml",
+				Flags:       adminFlags(&cli.BoolFlag{Name: "confirm", Usage: "allow the sheet to remove half or more of what is declared"}),
 				Action: func(ctx context.Context, c *cli.Command) error {
 					text, err := readSheet(c)
 					if err != nil {
@@ -181,6 +187,7 @@
 	}
 }
 
+// readSheet returns the text of the sheet in the file that the argument names, once it is checked.
 func readSheet(c *cli.Command) (string, error) {
 	name, err := singleArgument(c, "FILE")
 	if err != nil {
@@ -197,7 +204,7 @@
 }
 
 func domainCommand(out io.Writer) *cli.Command {
-	move := func(verb, usage string) *cli.Command {
+	subcommand := func(verb, usage string) *cli.Command {
 		return &cli.Command{
 			Name: verb, Usage: usage, ArgsUsage: "NAME", Flags: adminFlags(),
 			Description: "Example: bramleysail domain " + verb + " heredia",
@@ -215,14 +222,14 @@
 		}
 	}
 	return &cli.Command{
-		Name: "domain", Usage: "take a failure domain out of service or bring it back",
-		Commands: []*cli.Command{move("out", "nothing starts there any more"), move("back", "it may be used again")},
+		Name: "domain", Usage: "evacuate a failure domain or bring it back into use",
+		Commands: []*cli.Command{subcommand("out", "evacuate a failure domain, so that nothing new starts there"), subcommand("back", "bring a failure domain back into use")},
 	}
 }
 
 func statusCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show what an entry process knows", Flags: adminFlags(),
+		Name: "status", Usage: "show the state of an entry process", Flags: adminFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			v, err := callAdmin[node.Status](ctx, c, http.MethodGet, "/v1/status", nil)
 			if err != nil {
@@ -233,6 +240,7 @@
 	}
 }
 
+// writeStatusTable writes the rows of a status for printResult.
 func writeStatusTable(w io.Writer, s node.Status) {
 	fmt.Fprintf(w, "node\t%s\nzone\t%s\nready\t%t\nsure\t%t\nview\t%d\nmembers\t%s\nconfiguration\t%d\nout\t%s\nracks\t%s\nbuckets\t%s\n",
 		s.Node, s.Zone, s.Ready, s.Authorized, s.ViewEpoch, strings.Join(s.Members, " "), s.ConfigVersion, strings.Join(s.EvacuatedZones, " "),
--- a/internal/proc/tool/cli.go
+++ b/internal/proc/tool/cli.go
@@ -18,19 +18,21 @@
 	"bramleysail.example/bramleysail/internal/proc/node"
 )
 
-// Exit codes of the command.
+// Exit codes of the command line.
 const (
 	ExitOK                = 0
 	ExitFailed            = 1 // the command could not be carried out
-	ExitInvalid           = 2 // the input is wrong; nothing was changed
-	ExitConflict          = 3 // somebody else changed it first; nothing was changed
-	ExitOutcomeUnknown    = 4 // no answer: the change may be in force; read back
-	ExitGuaranteeViolated = 5 // the demo saw a promise broken
+	ExitInvalid           = 2 // the input is invalid; nothing was changed
+	ExitConflict          = 3 // it was changed by someone else in between; nothing was changed
+	ExitOutcomeUnknown    = 4 // no answer came; the change may be in force, which a read shows
+	ExitGuaranteeViolated = 5 // the demo found a guarantee violated
 )
 
+// exitHelp describes the exit codes in the help text.
 const exitHelp = `Exit codes: 0 done, 1 failed, 2 invalid input, 3 conflict, 4 outcome unknown, 5 promise broken (demo).`
 
-// Run carries out the command line args and returns the exit code.
+// Run executes the command line args, whose first element is the program's name, and returns the exit
+// code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := &cli.Command{
 		Name:           "bramleysail",
@@ -51,30 +53,32 @@
 	return exitCode(err)
 }
 
-// exitError is an error that carries the exitError code.
+// exitError is an error with the exit code to which it leads.
 type exitError struct {
 	error
 	code int
 }
 
+// Unwrap returns the error without the exit code.
 func (e exitError) Unwrap() error { return e.error }
 
+// exitCode returns the exit code to which an error leads.
 func exitCode(err error) int {
 	var e exitError
-	var faults conf.Errors
+	var configErrs conf.Errors
 	switch {
 	case errors.As(err, &e):
 		return e.code
-	case errors.As(err, &faults):
+	case errors.As(err, &configErrs):
 		return ExitInvalid
 	}
 	return ExitFailed
 }
 
-// singleArgument returns the command's one singleArgument.
+// singleArgument returns the command's only argument. The error for any other number of arguments names it what.
 func singleArgument(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", exitError{errors.Errorf("bramleysail: %s takes one %s, see --help", c.Name, what), ExitInvalid}
+		return "", exitError{errors.Errorf("bramleysail: %s takes exactly one %s, see --help", c.Name, what), ExitInvalid}
 	}
 	return c.Args().First(), nil
 }
@@ -84,7 +88,7 @@
 		Name:        "serve",
 		Usage:       "run one entry process until SIGTERM or SIGINT",
 		Description: "Example: bramleysail serve --settings examples/association.toml",
-		Flags:       []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "settings `FILE` in TOML; defaults without"}},
+		Flags:       []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "settings `FILE` in TOML; without it the default settings are used"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s := conf.Default()
 			if f := c.String("settings"); f != "" {
@@ -101,9 +105,9 @@
 func demoCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "demo",
-		Usage:       "run the main job on embedded stand-ins, bring about faults and check the promises",
-		Description: "It takes under a minute, needs nothing but loopback, and exits with 5 if a promise was broken.",
-		Flags:       []cli.Flag{&cli.BoolFlag{Name: "hosts", Usage: "the demo of entry hosts of which one holds, as on the users' platform"}},
+		Usage:       "run services and batch jobs on embedded stand-ins, inject faults and check the guarantees",
+		Description: "It takes less than a minute, needs only the loopback interface, and exits with 5 if a guarantee was violated.",
+		Flags:       []cli.Flag{&cli.BoolFlag{Name: "hosts", Usage: "run the demo in which one of the entry hosts is the holder, as on the users' platform"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			run := demo.Run
 			if c.Bool("hosts") {
@@ -111,13 +115,14 @@
 			}
 			broken, err := run(ctx, out)
 			if err == nil && len(broken) > 0 {
-				err = exitError{errors.Errorf("bramleysail: %d promises were broken", len(broken)), ExitGuaranteeViolated}
+				err = exitError{errors.Errorf("bramleysail: %d guarantees were violated", len(broken)), ExitGuaranteeViolated}
 			}
 			return err
 		},
 	}
 }
 
+// runNode runs an entry process until a signal arrives or a listener fails.
 func runNode(ctx context.Context, s conf.Settings, errOut io.Writer) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -128,12 +133,12 @@
 	select {
 	case <-ctx.Done():
 	case <-n.ListenerFailed():
-		err = errors.New("bramleysail: a listener was lost")
+		err = errors.New("bramleysail: an HTTP listener failed")
 	}
-	// A second signal ends the process at once.
+	// From here on, a second signal ends the process at once.
 	stop()
-	if serr := n.Stop(context.Background()); err == nil {
-		err = serr
+	if stopErr := n.Stop(context.Background()); err == nil {
+		err = stopErr
 	}
 	return err
 }
@@ -141,12 +146,12 @@
 func checkCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "check",
-		Usage:       "check a settings file or, with --sheet, a sheet; every fault is listed",
+		Usage:       "check a settings file or, with --sheet, a sheet, and list every error",
 		ArgsUsage:   "FILE",
 		Description: "Examples: bramleysail check examples/association.toml\n          bramleysail check --sheet examples/association.sheet.toml",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "sheet", Usage: "the file is a sheet"},
-			&cli.BoolFlag{Name: "host", Usage: "the file is the settings of a host on the users' platform"},
+			&cli.BoolFlag{Name: "host", Usage: "the file contains the settings of a host on the users' platform"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			name, err := singleArgument(c, "FILE")
--- a/internal/proc/tool/doc.go
+++ b/internal/proc/tool/doc.go
@@ -1,2 +1,2 @@
-// Package tool is the command line.
+// Package tool implements the bramleysail command line.
 package tool
--- a/internal/proc/tool/explain.go
+++ b/internal/proc/tool/explain.go
@@ -15,10 +15,10 @@
 func explainCommand(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "explain",
-		Usage:       "tell from the hosts' logs what became of a job: where it is, why it waited, what was decided",
+		Usage:       "show the history of a job from the hosts' logs: where it runs, why it waited and what was decided",
 		ArgsUsage:   "JOB [LOGFILE ...]",
-		Description: "Reads standard input without a file. Example: bramleysail explain 5c0e7a21d94b36f8 host-*.log",
-		Flags:       []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "for programs"}},
+		Description: "Reads standard input if no file is given. Example: bramleysail explain 5c0e7a21d94b36f8 host-*.log",
+		Flags:       []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print JSON"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 1 {
 				return exitError{errors.Errorf("bramleysail: %s takes a job's id, see --help", c.Name), ExitInvalid}
@@ -41,6 +41,7 @@
 	}
 }
 
+// readLogs reads the log files, or standard input if there are none.
 func readLogs(files []string, errOut io.Writer) ([]story.Line, error) {
 	if len(files) == 0 {
 		return readLog("standard input", os.Stdin, errOut)
@@ -52,8 +53,8 @@
 			return nil, exitError{errors.Wrap(err, "bramleysail"), ExitInvalid}
 		}
 		lines, err := readLog(name, f, errOut)
-		if cerr := f.Close(); err == nil {
-			err = errors.Wrap(cerr, "bramleysail")
+		if closeErr := f.Close(); err == nil {
+			err = errors.Wrap(closeErr, "bramleysail")
 		}
 		if err != nil {
 			return nil, err
@@ -63,10 +64,11 @@
 	return all, nil
 }
 
+// readLog reads one log and reports on errOut how many of its lines are unreadable.
 func readLog(name string, in io.Reader, errOut io.Writer) ([]story.Line, error) {
-	lines, bad, err := story.Read(in)
-	if bad > 0 {
-		fmt.Fprintf(errOut, "%s: %d lines can't be read and are left out\n", name, bad)
+	lines, skipped, err := story.Read(in)
+	if skipped > 0 {
+		fmt.Fprintf(errOut, "%s: skipped %d unreadable lines\n", name, skipped)
 	}
 	return lines, err
 }
--- a/internal/proc/tool/host.go
+++ b/internal/proc/tool/host.go
@@ -18,8 +18,8 @@
 	"bramleysail.example/bramleysail/platform"
 )
 
-// storeTimeout bounds a call of the key-value service: some 4 ms as a rule, and 90 times that
-// when it is slow.
+// storeTimeout is the timeout of a call of the key-value service. A call usually takes about 4 ms, and
+// 90 times as long when the service is slow.
 const storeTimeout = time.Second
 
 func hostCommand(out io.Writer) *cli.Command {
@@ -36,21 +36,22 @@
 	}
 }
 
+// runHost runs an entry process on the users' platform until SIGTERM, SIGINT or the failure of a listener.
 func runHost(ctx context.Context, file string, out io.Writer) error {
-	set, err := conf.LoadHost(file)
+	settings, err := conf.LoadHost(file)
 	if err != nil {
 		return err
 	}
-	lines := telem.NewAsyncWriter(out)
-	defer lines.Close()
-	log := telem.NewLogger(lines, set.Log.Level).WithValues("host", set.Name)
+	logWriter := telem.NewAsyncWriter(out)
+	defer logWriter.Close()
+	log := telem.NewLogger(logWriter, settings.Log.Level).WithValues("host", settings.Name)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	h, err := front.Start(set, front.Adapters{
-		Store:            platform.NewStoreClient(set.Store.Addr, storeTimeout),
-		WorkerClient:     platform.NewWorkerClient(front.MaxWorkerConns(set.Limit)),
+	process, err := front.Start(settings, front.Adapters{
+		Store:            platform.NewStoreClient(settings.Store.Addr, storeTimeout),
+		WorkerClient:     platform.NewWorkerClient(front.MaxWorkerConns(settings.Limit)),
 		Codec:            platform.NewCodec(),
 		CallerHandler:    func(d *front.Forwarder) http.Handler { return platform.NewCallerHandler(d) },
 		ReadinessHandler: platform.NewReadinessHandler,
@@ -61,20 +62,20 @@
 	for {
 		select {
 		case <-hup:
-			// Everything in the settings holds for a process's life; a changed file is checked
-			// so that a mistake shows now and not at the next start.
+			// Settings are fixed for the life of the process. The changed file is only checked,
+			// so that an error in it is logged now instead of at the next start.
 			_, err := conf.LoadHost(file)
 			log.Info("reload", "file", file, "valid", err == nil)
 			continue
 		case <-ctx.Done():
-		case <-h.ListenerFailed():
-			err = errors.New("bramleysail: a listener was lost")
+		case <-process.ListenerFailed():
+			err = errors.New("bramleysail: an HTTP listener failed")
 		}
 		break
 	}
 	stop()
-	if serr := h.Stop(context.Background()); err == nil {
-		err = serr
+	if stopErr := process.Stop(context.Background()); err == nil {
+		err = stopErr
 	}
 	return err
 }
--- a/internal/proc/tool/standin.go
+++ b/internal/proc/tool/standin.go
@@ -20,7 +20,8 @@
 	fakeworker "bramleysail.example/bramleysail/internal/fake/worker"
 )
 
-// standinCommand runs one stand-in of the platform as a process of its own.
+// standinCommand returns the command that runs one stand-in (an imitation of a part of the platform)
+// as a separate process.
 func standinCommand(out io.Writer) *cli.Command {
 	listen := &cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`ADDRESS` to listen on"}
 	return &cli.Command{
@@ -59,6 +60,7 @@
 	}
 }
 
+// runStandin serves a stand-in until SIGTERM or SIGINT. It prints the address on which it listens.
 func runStandin(ctx context.Context, out io.Writer, c *cli.Command, s *http.Server) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
