--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -232,7 +232,7 @@
 	ViewEpoch      uint64                   `json:"epoch"`   // of its view of the membership
 	Members        []string                 `json:"members"` // ids of the entry processes in that view
 	ConfigVersion  uint64                   `json:"config"`  // version of the configuration that it applies
-	EvacuatedZones []string                 `json:"out"`
+	EvacuatedZones []string                 `json:"out"`     // failure domains that operators have taken out
 	Racks          []string                 `json:"racks"`   // names of the racks that it holds
 	Buckets        []string                 `json:"buckets"` // names of the buckets that it holds
 	Services       map[string]ServiceStatus `json:"services"`
--- a/internal/proc/tool/cli.go
+++ b/internal/proc/tool/cli.go
@@ -23,7 +23,7 @@
 	ExitOK                = 0
 	ExitFailed            = 1 // the command could not be carried out
 	ExitInvalid           = 2 // the input is invalid; nothing was changed
-	ExitConflict          = 3 // it was changed by someone else in between; nothing was changed
+	ExitConflict          = 3 // the configuration or job was changed by someone else; the command changed nothing
 	ExitOutcomeUnknown    = 4 // no answer came; the change may be in force, which a read shows
 	ExitGuaranteeViolated = 5 // the demo found a guarantee violated
 )
