--- a/internal/batch/wire/wire.go
+++ b/internal/batch/wire/wire.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Size is an amount of a worker's resources.
+// Size is an amount of resources: what a worker has or what a task needs.
 type Size struct {
 	CPU   int `json:"cpu" toml:"cpu"`     // millicores
 	Mem   int `json:"mem" toml:"mem"`     // MiB
@@ -14,97 +14,100 @@
 	return t.CPU <= s.CPU && t.Mem <= s.Mem && t.Accel <= s.Accel
 }
 
-// Minus returns s less t.
+// Minus returns s reduced by t in every dimension.
 func (s Size) Minus(t Size) Size {
 	return Size{s.CPU - t.CPU, s.Mem - t.Mem, s.Accel - t.Accel}
 }
 
-// TaskState is a task's state on its worker.
+// TaskState is the state of a task on its worker.
 type TaskState string
 
 // The states of a task on a worker.
 const (
 	TaskRunning  TaskState = "running"
 	TaskFinished TaskState = "finished"
-	TaskStopped  TaskState = "stopped" // evicted; Done tells how much is kept
+	TaskStopped  TaskState = "stopped" // evicted; TaskReport.Done is the work saved
 	TaskFailed   TaskState = "failed"
 )
 
-// Refusal is the reason why a worker didn't carry out a command.
+// Refusal is the reason why a worker refused a command.
 type Refusal string
 
-// The reasons of a refusal; each means that nothing was changed.
+// The reasons for a refusal. A refused command has changed nothing on the worker.
 const (
-	RefusalEpochMismatch  Refusal = "epoch" // the command is of another holder's epoch
-	RefusalLeaseExpired   Refusal = "lease" // the worker's lease has lapsed
-	RefusalNoCapacity     Refusal = "room"  // not enough resources
-	RefusalDeadlinePassed Refusal = "late"  // it arrived after its time
+	RefusalEpochMismatch  Refusal = "epoch" // the command carries another epoch than the worker is fenced with
+	RefusalLeaseExpired   Refusal = "lease" // the worker's lease has expired
+	RefusalNoCapacity     Refusal = "room"  // not enough free resources
+	RefusalDeadlinePassed Refusal = "late"  // the start arrived after its NotAfter
 )
 
-// Verb is a command about a task that is already on the worker.
+// Verb says what a TaskCommandRequest does with a task that is on the worker.
 type Verb string
 
-// The verbs of Act.
+// The verbs of a TaskCommandRequest.
 const (
-	VerbCheckpoint   Verb = "checkpoint" // save the progress, then stop
-	VerbStop         Verb = "stop"       // stop and lose the progress since the start
-	VerbThrottle     Verb = "throttle"
-	VerbAcceptResult Verb = "accept" // a finished task counts: let its result out, then forget it
-	VerbForget       Verb = "forget" // drop a task that no longer runs, with any result
+	VerbCheckpoint   Verb = "checkpoint" // save the progress, then stop the task
+	VerbStop         Verb = "stop"       // stop the task; the progress since its start is lost
+	VerbThrottle     Verb = "throttle"   // limit the task to a share of full speed
+	VerbAcceptResult Verb = "accept"     // publish the result of a finished task, then forget the task
+	VerbForget       Verb = "forget"     // forget a task that no longer runs, and discard its result
 )
 
-// Task is what a worker needs to run a task.
+// Task describes a task to the worker that runs it.
 type Task struct {
-	ID          string        `json:"id"`
-	Size        Size          `json:"size"`
-	Duration    time.Duration `json:"run"`  // work in total
-	ResumeFrom  time.Duration `json:"from"` // work done before, by checkpoint
-	LongRunning bool          `json:"standing,omitempty"`
+	ID          string        `json:"id"`                 // unique for each placement of a task
+	Size        Size          `json:"size"`               // resources that the task occupies
+	Duration    time.Duration `json:"run"`                // total work, as run time at full speed
+	ResumeFrom  time.Duration `json:"from"`               // work saved by a checkpoint, from which the task resumes
+	LongRunning bool          `json:"standing,omitempty"` // never finishes
 }
 
-// WorkerTime is a moment on a worker's own monotonic clock, as time since the worker began.
+// WorkerTime is a point in time on a worker's monotonic clock: the time since the worker
+// process started.
 type WorkerTime time.Duration
 
-// FenceRequest raises a worker's epoch; it extends no lease.
+// FenceRequest raises a worker's epoch, so that it refuses commands of older epochs. It
+// doesn't extend the worker's lease.
 type FenceRequest struct {
 	Epoch uint64 `json:"epoch"`
 }
 
-// RenewRequest sets until when the worker's tasks may run. The moment is on the worker's own
-// clock, so that a renewal which arrives late extends nothing.
+// RenewRequest extends the lease of a worker: its tasks may run until the given time. The
+// time is on the worker's clock, so a delayed renewal doesn't extend the lease beyond it.
 type RenewRequest struct {
 	Epoch uint64     `json:"epoch"`
 	Until WorkerTime `json:"until"`
 }
 
-// StartRequest asks a worker to run a task not later than a moment on its own clock;
-// repeating it for a task already there changes nothing.
+// StartRequest starts a task, unless it arrives after NotAfter on the worker's clock. It is
+// idempotent: it changes nothing when the worker already has the task.
 type StartRequest struct {
 	Epoch    uint64     `json:"epoch"`
 	NotAfter WorkerTime `json:"notafter"`
 	Task     Task       `json:"task"`
 }
 
-// TaskCommandRequest asks a worker to do something with a task that it has.
+// TaskCommandRequest applies a verb to a task that is on the worker.
 type TaskCommandRequest struct {
 	Epoch  uint64  `json:"epoch"`
 	TaskID string  `json:"id"`
 	Verb   Verb    `json:"verb"`
-	Rate   float64 `json:"rate,omitempty"` // share of full speed, 0 to 1, for a throttle
+	Rate   float64 `json:"rate,omitempty"` // share of full speed, 0 to 1, with VerbThrottle
 }
 
-// TaskReport is one task as its worker sees it.
+// TaskReport is the state of one task on its worker.
 type TaskReport struct {
 	ID    string        `json:"id"`
 	State TaskState     `json:"state"`
-	Done  time.Duration `json:"done"`
-	Size  Size          `json:"size"`
+	Done  time.Duration `json:"done"` // work done, including what was done before this start
+	Size  Size          `json:"size"` // resources that the task occupies
 }
 
-// Report is a worker's inventory; in the answer to a command it is current, by itself it lags.
+// Report is the inventory of a worker. As the answer to a command it is current; a polled
+// report may be out of date.
 type Report struct {
-	Epoch uint64       `json:"epoch"`
-	Now   WorkerTime   `json:"now"`
-	Size  Size         `json:"size"`
-	Tasks []TaskReport `json:"tasks"`
+	Epoch uint64       `json:"epoch"` // with which the worker is fenced
+	Now   WorkerTime   `json:"now"`   // when the report was made
+	Size  Size         `json:"size"`  // total resources of the worker
+	Tasks []TaskReport `json:"tasks"` // tasks that the worker has not forgotten
 }
