--- a/internal/batch/jobs/bench_test.go
+++ b/internal/batch/jobs/bench_test.go
@@ -8,7 +8,7 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// newBenchBucket returns a held bucket with so many jobs of 10 tasks, half of them placed.
+// newBenchBucket returns a Core with n jobs of 10 tasks, half of them placed.
 func newBenchBucket(b *testing.B, n int) *Core {
 	now := time.Unix(1000, 0)
 	c := New(Bucket{}, 1)
@@ -29,6 +29,7 @@
 	return c
 }
 
+// commitBench makes one successful write and returns the size of the record in bytes.
 func commitBench(b *testing.B, c *Core) int {
 	value, err := c.BeginWrite("id")
 	if err != nil {
@@ -38,7 +39,7 @@
 	return len(value)
 }
 
-// BenchmarkCommit measures writing the record: time and bytes a job of 10 tasks.
+// BenchmarkCommit measures encoding the record for a write: the time, and the bytes per job of 10 tasks.
 func BenchmarkCommit(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -52,7 +53,7 @@
 	}
 }
 
-// BenchmarkHear measures answering a rack that has nothing to say.
+// BenchmarkHear measures replying to an empty report of a rack.
 func BenchmarkHear(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/batch/jobs/core.go
+++ b/internal/batch/jobs/core.go
@@ -13,86 +13,89 @@
 )
 
 var (
-	// ErrFull says that the bucket's record has no room; the job may be tried later.
+	// ErrFull means that the bucket's record has no room for another job. A later submission may succeed.
 	ErrFull = errors.New("jobs: bucket full")
-	// ErrIDTaken says that another job has the id.
+	// ErrIDTaken means that a different job has the id.
 	ErrIDTaken = errors.New("jobs: id taken by a different job")
-	// ErrNotFound says that no job has the id.
+	// ErrNotFound means that no job has the id.
 	ErrNotFound = errors.New("jobs: no such job")
 )
 
 const (
-	// recordHeadroom is how much of the largest value stays free for what accepted jobs add.
+	// recordHeadroom is the part of maxRecordBytes that is kept free for the growth of accepted jobs.
 	recordHeadroom  = 1 << 18
-	maxRecordBytes  = 1 << 20
-	endedRetention  = time.Hour // how long finished jobs stay, for repeats of their submission
-	maxTaskFailures = 3         // failures of one task, that park its job
+	maxRecordBytes  = 1 << 20   // largest record
+	endedRetention  = time.Hour // how long an ended job is kept, so that a repeated submission finds it
+	maxTaskFailures = 3         // failures of one task after which its job is parked
 )
 
-// Offer is what a rack has free.
+// Offer describes the resources that a rack offers to a bucket.
 type Offer struct {
-	Free []wire.Size // of each worker
-	Max  wire.Size   // the largest worker's whole size
+	Free []wire.Size // free resources of each worker that accepts tasks; empty when nothing is offered
+	Max  wire.Size   // largest total amount of each resource on any worker
 }
 
-// RackReport is what a rack's holder tells a bucket's holder.
+// RackReport is what the holder of a rack reports to the holder of a bucket.
 type RackReport struct {
 	Rack     string
-	Zone     string
-	Ep       uint64 // of the rack's holder
-	Usable   bool   // tasks may start there
+	Zone     string // failure domain of the rack
+	Ep       uint64 // epoch of the rack's holder
+	Usable   bool   // tasks may start in the rack's failure domain
 	Offer    Offer
-	Heard    uint64 // the highest number of a placement that it was told of; the offer knows nothing of later ones
-	Finished []Placement
-	Released []Placement // finished ones whose worker has learned that they count
-	Failed   []Placement
-	Back     map[Placement]time.Duration // given back: not run there and never will be; with the work kept
+	Heard    uint64                      // highest placement number that the rack has received; the offer doesn't account for later ones
+	Finished []Placement                 // placements whose task has finished
+	Released []Placement                 // finished placements whose worker has accepted the result
+	Failed   []Placement                 // placements whose task has failed
+	Back     map[Placement]time.Duration // placements that don't run on the rack and never will, with the work saved by checkpoints
 }
 
 // Task is a task that a rack is to run.
 type Task struct {
 	Place Placement
-	Spec  Spec
-	From  time.Duration
+	Spec  Spec          // of its job
+	From  time.Duration // work saved by a checkpoint, from which the task resumes
 }
 
-// RackReply is what a bucket's holder answers to a report.
+// RackReply is the reply of a bucket's holder to a RackReport.
 type RackReply struct {
-	OK       bool        // false: the report is a former holder's, nothing was taken in
-	Run      []Task      // everything that the rack is to run
-	Counts   []Placement // finished ones that count; their results may go out
-	Recorded []Placement // the other reported ones that are dealt with
-	Ended    []Placement // those of jobs that have ended; the rack stops them or says that it hasn't got them
-	Waiting  int         // tasks that have no rack yet
-	Urgent   int         // those of them that are standing or urgent
-}
-
-// Core holds one bucket. What happened since the last write is in work; kept is what
-// the store is known to hold. Others are only ever told what stands in both.
+	OK       bool        // false: the report was ignored and the other fields are empty
+	Run      []Task      // all tasks that the rack is to run
+	Counts   []Placement // finished placements that count; their results may be published
+	Recorded []Placement // other reported placements that need not be reported again
+	Ended    []Placement // placements of ended jobs; the rack stops them, or returns those that it doesn't run
+	Waiting  int         // tasks of the bucket that have no rack yet
+	Urgent   int         // waiting tasks that are long-running or urgent
+}
+
+// Core decides about one bucket during one holding. It changes the working copy of the
+// bucket, which a successful write makes the committed copy. A rack is to run only tasks on
+// whose placement both copies agree, and nothing is acknowledged before it is committed.
+// Core isn't safe for concurrent use.
 type Core struct {
-	epoch      uint64
-	working    Bucket
-	committed  Bucket
-	inFlight   *Bucket
-	recordSize int // of the record in bytes when it was last written
-	dirty      bool
-	racks      map[string]rackStatus
+	epoch      uint64                // of this holding
+	working    Bucket                // the bucket with changes that may not have been written yet
+	committed  Bucket                // the bucket as the store is known to hold it
+	inFlight   *Bucket               // the copy being written; nil when no write is under way
+	recordSize int                   // bytes of the record when it was last encoded, plus an allowance for jobs added since
+	dirty      bool                  // working has changes that are in no write
+	racks      map[string]rackStatus // by name
 }
 
+// rackStatus keeps what a rack's last report said.
 type rackStatus struct {
-	epoch         uint64
-	largestWorker wire.Size
+	epoch         uint64    // of the rack's holder
+	largestWorker wire.Size // Offer.Max
 	reportedAt    time.Time
 }
 
-// New returns the core for the bucket as read from the store, held with epoch ep.
-func New(b Bucket, ep uint64) *Core {
+// New returns a Core for a bucket that was read from the store and is held with the given epoch.
+func New(b Bucket, epoch uint64) *Core {
 	if b.Jobs == nil {
 		b.Jobs = map[string]*Job{}
 	}
-	c := &Core{epoch: ep, committed: b, working: b.clone(), racks: map[string]rackStatus{}}
-	// The first write, even without a change, makes an earlier holder's writes fail.
-	c.dirty = b.HolderEpoch != ep
+	c := &Core{epoch: epoch, committed: b, working: b.clone(), racks: map[string]rackStatus{}}
+	// The first write is made even without a change: it makes the writes of a former holder fail.
+	c.dirty = b.HolderEpoch != epoch
 	return c
 }
 
@@ -105,22 +108,23 @@
 }
 
 func (j *Job) clone() *Job {
-	k := *j
-	k.Done = j.Done.Clone()
-	k.Place, k.Won = cloneMap(j.Place), cloneMap(j.Won)
-	k.Kept, k.Fails = cloneMap(j.Kept), cloneMap(j.Fails)
-	return &k
+	clone := *j
+	clone.Done = j.Done.Clone()
+	clone.Place, clone.Won = cloneMap(j.Place), cloneMap(j.Won)
+	clone.Kept, clone.Fails = cloneMap(j.Kept), cloneMap(j.Fails)
+	return &clone
 }
 
-// cloneMap copies a map; one that was empty in the store comes back ready for use.
+// cloneMap returns a copy of a map. The copy is never nil: the record omits empty maps, so
+// that they are nil when it has been read.
 func cloneMap[V any](m map[int]V) map[int]V {
 	out := make(map[int]V, len(m))
 	maps.Copy(out, m)
 	return out
 }
 
-// Submit accepts a job into the working copy; it is accepted for its user once Kept
-// says so. The same job again changes nothing.
+// Submit adds a job to the working copy. The job may be confirmed to its user once
+// CommittedJob returns it. Submitting the same job again changes nothing.
 func (c *Core) Submit(now time.Time, s Spec) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -141,8 +145,8 @@
 	return nil
 }
 
-// Cancel ends a job unless it has ended before; which of the two came first is
-// decided here, once.
+// Cancel cancels a job unless it has ended. Of a cancellation and another end of the job
+// the one handled first takes effect, and is final.
 func (c *Core) Cancel(now time.Time, id string) error {
 	j := c.working.Jobs[id]
 	if j == nil {
@@ -152,11 +156,12 @@
 	return nil
 }
 
-func (c *Core) endJob(now time.Time, j *Job, s State, why string) {
+// endJob moves an open job to a final state; why gives the reason to the user.
+func (c *Core) endJob(now time.Time, j *Job, state State, why string) {
 	if j.State != StateOpen {
 		return
 	}
-	j.State, j.Why, j.Since = s, why, now
+	j.State, j.Why, j.Since = state, why, now
 	clear(j.Kept)
 	clear(j.Fails)
 	c.dirty = true
@@ -171,33 +176,34 @@
 	return *j, true
 }
 
-// CommittedJobs returns the jobs as the store holds them, in order of id.
+// CommittedJobs returns the jobs as the store holds them, sorted by id.
 func (c *Core) CommittedJobs() []Job {
-	var list []Job
+	var committed []Job
 	for _, id := range slices.Sorted(maps.Keys(c.committed.Jobs)) {
-		list = append(list, *c.committed.Jobs[id])
+		committed = append(committed, *c.committed.Jobs[id])
 	}
-	return list
+	return committed
 }
 
-// NeedsWrite reports whether there is something to write and no write under way.
+// NeedsWrite reports whether there are changes to write and no write is under way.
 func (c *Core) NeedsWrite() bool { return c.dirty && c.inFlight == nil }
 
-// BeginWrite returns the record to write; until Ended nothing else may be written.
+// BeginWrite returns the encoded record to write, with id as its WriteID. The next write may
+// begin only after EndWrite.
 func (c *Core) BeginWrite(id string) ([]byte, error) {
 	b := c.working.clone()
 	b.WriteID, b.HolderEpoch = id, c.epoch
 	value, err := json.Marshal(b)
 	if err != nil {
-		return nil, errors.Wrap(err, "jobs")
+		return nil, errors.Wrap(err, "jobs: encode bucket record")
 	}
 	c.recordSize = len(value)
 	c.inFlight, c.dirty = &b, false
 	return value, nil
 }
 
-// EndWrite takes in whether the write took effect. When it may or may not have, it isn't
-// called until that is known.
+// EndWrite ends a write that took effect (ok) or failed. It must not be called while the
+// outcome of the write is unknown.
 func (c *Core) EndWrite(ok bool) {
 	if ok {
 		c.committed = *c.inFlight
--- a/internal/batch/jobs/jobs_test.go
+++ b/internal/batch/jobs/jobs_test.go
@@ -11,11 +11,13 @@
 
 var (
 	now  = time.Unix(1000, 0)
-	unit = wire.Size{CPU: 1000, Mem: 1000}
+	unit = wire.Size{CPU: 1000, Mem: 1000} // size of a task
 )
 
+// allowAll lets every kind of job use a rack.
 func allowAll(string) bool { return true }
 
+// commitRecord makes one successful write.
 func commitRecord(t *testing.T, c *Core) {
 	t.Helper()
 	if _, err := c.BeginWrite("id"); err != nil {
@@ -24,7 +26,7 @@
 	c.EndWrite(true)
 }
 
-// newReport is a report of a rack with room for n tasks.
+// newReport returns a report of a rack whose offer has room for n tasks.
 func newReport(rack string, n int) RackReport {
 	r := RackReport{Rack: rack, Ep: 1, Usable: true, Offer: Offer{Max: unit}, Back: map[Placement]time.Duration{}}
 	for range n {
@@ -33,7 +35,7 @@
 	return r
 }
 
-// newPlacedJob returns a written bucket with a job of n tasks placed on rack a.
+// newPlacedJob returns a Core with a committed job of n tasks on rack a, and these tasks.
 func newPlacedJob(t *testing.T, n int) (*Core, []Task) {
 	t.Helper()
 	c := New(Bucket{}, 1)
@@ -43,68 +45,70 @@
 	}
 	commitRecord(t, c)
 	if a := c.HandleReport(now, newReport("a", n), allowAll); len(a.Run) > 0 {
-		t.Fatalf("named before the store holds it: %v", a.Run)
+		t.Fatalf("tasks to run before their placement is committed: %v", a.Run)
 	}
 	commitRecord(t, c)
 	return c, c.HandleReport(now, newReport("a", 0), allowAll).Run
 }
 
-// A bucket's holder dies with a write on its way. The next one reads the record before
-// that write takes effect; what it would tell a rack then is out of date, and a task
-// that the write moves would run in both places.
+// TestNoReplyBeforeFirstWrite guards against a reply that is based on an outdated record. The former holder of a bucket
+// dies with a write in flight, and the new holder reads the record before that write takes
+// effect. A task that the write moves would then run on both racks.
 func TestNoReplyBeforeFirstWrite(t *testing.T) {
 	c, _ := newPlacedJob(t, 1)
 	next := New(c.committed, 2)
 	if a := next.HandleReport(now, newReport("a", 1), allowAll); a.OK {
-		t.Errorf("it answers before its own write: %+v", a)
+		t.Errorf("reply before this holding has written the record: %+v", a)
 	}
 	commitRecord(t, next)
 	if a := next.HandleReport(now, newReport("a", 0), allowAll); !a.OK || len(a.Run) != 1 {
-		t.Errorf("after its own write: %+v", a)
+		t.Errorf("reply after this holding has written the record: %+v", a)
 	}
 }
 
-// A former holder of a rack reports late that it doesn't run a task which the present
-// one has started. Believed, the task would be placed elsewhere and run twice.
+// TestStaleRackHolderIgnored guards against a delayed report of a rack's former holder. It returns a task that the
+// current holder has started; if it counted, the task would be placed again and run twice.
 func TestStaleRackHolderIgnored(t *testing.T) {
 	c, run := newPlacedJob(t, 1)
-	present := newReport("a", 0)
-	present.Ep = 2
-	c.HandleReport(now, present, allowAll)
-	late := newReport("a", 0)
-	late.Back[run[0].Place] = 0
-	a := c.HandleReport(now, late, allowAll)
+	current := newReport("a", 0)
+	current.Ep = 2
+	c.HandleReport(now, current, allowAll)
+	stale := newReport("a", 0)
+	stale.Back[run[0].Place] = 0
+	a := c.HandleReport(now, stale, allowAll)
 	if n, _ := c.CountWaiting(); a.OK || n > 0 {
-		t.Errorf("a former holder's report is taken in: %+v", a)
+		t.Errorf("the report of a former holder was applied: %+v", a)
 	}
 }
 
-// A task is given up for lost and placed again; then the first placement turns out to
-// have finished. Two photo books would go out if it counted.
+// TestSupersededPlacementIgnored guards against a task that finishes twice. The task is presumed lost and placed again, then
+// the first placement is reported as finished. If that counted, two results would be
+// published: two photo books would be sent out.
 func TestSupersededPlacementIgnored(t *testing.T) {
 	c, run := newPlacedJob(t, 1)
-	lost := newReport("a", 0)
-	lost.Back[run[0].Place] = 0
-	c.HandleReport(now, lost, allowAll)
+	returned := newReport("a", 0)
+	returned.Back[run[0].Place] = 0
+	c.HandleReport(now, returned, allowAll)
 	commitRecord(t, c)
 	c.HandleReport(now, newReport("b", 1), allowAll)
 	commitRecord(t, c)
-	ghost := newReport("a", 0)
-	ghost.Finished = []Placement{run[0].Place}
-	a := c.HandleReport(now, ghost, allowAll)
+	superseded := newReport("a", 0)
+	superseded.Finished = []Placement{run[0].Place}
+	a := c.HandleReport(now, superseded, allowAll)
 	if j, _ := c.CommittedJob("job"); len(a.Counts) > 0 || j.Done.Count() > 0 || len(a.Recorded) != 1 {
-		t.Errorf("a former placement counts: %+v", a)
+		t.Errorf("a superseded placement counts as finished: %+v", a)
 	}
 }
 
-// A cancellation races the last task's end. The first one decides, and stays.
+// The last task of a job finishes while the job is being cancelled. What is handled first
+// decides the final state of the job.
 func TestCancelRacesFinish(t *testing.T) {
 	for _, cancelFirst := range []bool{true, false} {
 		c, run := newPlacedJob(t, 1)
-		end := newReport("a", 0)
-		end.Finished = []Placement{run[0].Place}
+		finished := newReport("a", 0)
+		finished.Finished = []Placement{run[0].Place}
 		cancel := func() { _ = c.Cancel(now, "job") }
-		finish := func() { c.HandleReport(now, end, allowAll) }
+		finish := func() { c.HandleReport(now, finished, allowAll) }
 		want := StateDone
 		if cancelFirst {
 			want = StateCancelled
@@ -116,13 +120,13 @@
 		}
 		commitRecord(t, c)
 		if j, _ := c.CommittedJob("job"); j.State != want {
-			t.Errorf("cancelled first %t: %s", cancelFirst, j.State)
+			t.Errorf("cancelled first %t: state %s", cancelFirst, j.State)
 		}
 	}
 }
 
-// A job is too large for every worker that it may use. It must be parked with the
-// reason, not before every rack has spoken, and block nobody.
+// A job is too large for every worker that it may use. It must be parked with the reason,
+// but only after every rack has reported, and must not delay other jobs.
 func TestInfeasibleJobParked(t *testing.T) {
 	c := New(Bucket{}, 1)
 	commitRecord(t, c)
@@ -138,20 +142,21 @@
 	c.ParkAndExpire(now, []string{"a", "b"}, anywhere)
 	commitRecord(t, c)
 	if j, _ := c.CommittedJob("big"); j.State != StateOpen {
-		t.Errorf("parked while a rack is silent: %s", j.State)
+		t.Errorf("state while a rack is silent: %s", j.State)
 	}
 	if run := c.HandleReport(now, newReport("a", 0), allowAll).Run; len(run) != 1 || run[0].Place.Job != "small" {
-		t.Errorf("it blocks another: %v", run)
+		t.Errorf("the infeasible job delays another job; tasks to run: %v", run)
 	}
 	c.HandleReport(now, newReport("b", 0), allowAll)
 	c.ParkAndExpire(now, []string{"a", "b"}, anywhere)
 	commitRecord(t, c)
 	if j, _ := c.CommittedJob("big"); j.State != StateParked || j.Why == "" {
-		t.Errorf("never parked: %s %q", j.State, j.Why)
+		t.Errorf("state after reports of all racks: %s, reason %q", j.State, j.Why)
 	}
 }
 
-// A submission is repeated, because its answer was lost; another job takes the same id.
+// A submission may be repeated, as after a lost answer. A different job with the same id, or
+// an invalid one, is refused.
 func TestSubmit(t *testing.T) {
 	c := New(Bucket{}, 1)
 	s := Spec{ID: "job", Kind: "audit", N: 1, Size: unit, Run: time.Second}
@@ -162,29 +167,30 @@
 	}
 	s.N = 2
 	if err := c.Submit(now, s); !errors.Is(err, ErrIDTaken) {
-		t.Errorf("another job with the id: %v", err)
+		t.Errorf("submitting a different job with the same id: %v", err)
 	}
 	for _, bad := range []Spec{{}, {ID: "a/b", Kind: "k", N: 1, Size: unit, Run: 1}, {ID: "x", Kind: "k", N: MaxTasks + 1, Size: unit, Run: 1}, {ID: "x", Kind: "k", N: 1, Size: unit, Run: 1, Rank: "top"}} {
 		if err := c.Submit(now, bad); !errors.Is(err, ErrInvalidSpec) {
-			t.Errorf("%+v: %v", bad, err)
+			t.Errorf("submitting the invalid job %+v: %v", bad, err)
 		}
 	}
 }
 
+// FuzzParsePlacement checks that the text of a parsed placement is parsed as the same placement.
 func FuzzParsePlacement(f *testing.F) {
 	f.Add("audit-7/3@12")
 	f.Add("/@")
 	f.Fuzz(func(t *testing.T, s string) {
 		if p, ok := ParsePlacement(s); ok {
 			if again, ok := ParsePlacement(p.String()); !ok || again != p {
-				t.Errorf("%q is read as %+v and that as %+v", s, p, again)
+				t.Errorf("%q is parsed as %+v, whose text is parsed as %+v", s, p, again)
 			}
 		}
 	})
 }
 
-// Room is scarce while many tasks wait. The condition watch must be placed first, then
-// what is urgent, whatever came before.
+// More tasks wait than fit. The long-running job (a condition watch) must be placed first, then
+// the urgent one, whatever the order of submission.
 func TestPlacementPrecedence(t *testing.T) {
 	c := New(Bucket{}, 1)
 	commitRecord(t, c)
@@ -199,9 +205,9 @@
 	commitRecord(t, c)
 	run := c.HandleReport(now, newReport("a", 0), allowAll).Run
 	if len(run) != 2 || run[0].Place.Job != "watch" || run[1].Place.Job != "urgent" {
-		t.Errorf("placed first: %v", run)
+		t.Errorf("tasks placed first: %v", run)
 	}
 	if n, urgent := c.CountWaiting(); n != 2 || urgent != 0 {
-		t.Errorf("%d wait, %d of them urgent", n, urgent)
+		t.Errorf("%d tasks wait, %d of them urgent", n, urgent)
 	}
 }
--- a/internal/batch/jobs/place.go
+++ b/internal/batch/jobs/place.go
@@ -8,10 +8,11 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// urgentPrecedence is the order of urgent jobs; standing ones go before.
+// urgentPrecedence is the precedence of urgent jobs; only long-running jobs precede them.
 const urgentPrecedence = 1
 
-// Precedence ranks jobs: standing first, then by rank.
+// Precedence returns the position of a job in the order of placement, 0 to 3: long-running
+// jobs come first, then urgent, normal and low ones.
 func (s Spec) Precedence() int {
 	switch {
 	case s.Standing:
@@ -24,7 +25,7 @@
 	return 2
 }
 
-// placeTasks assigns waiting tasks to what the rack offers, in order of rank, then age.
+// placeTasks places waiting tasks on the rack's offer, in order of precedence, then of age.
 func (c *Core) placeTasks(r RackReport, allowed func(string) bool) {
 	waiting := c.waitingJobs()
 	if len(r.Offer.Free) == 0 || len(waiting) == 0 {
@@ -45,88 +46,92 @@
 	}
 }
 
-// remainingOffer returns what the rack offers less what it was given and hasn't heard of.
+// remainingOffer returns the rack's offer, reduced by placements on it that it hasn't received.
 //
-// It guards against room that is used twice: a rack offers again before the store holds
-// what its last offer was used for, and the tasks above its room would wait there while
-// other racks are free.
+// A rack may repeat an offer before the store holds the placements made on the last one.
+// Without the reduction the same resources would be used twice, and the excess tasks would
+// wait on this rack while others have free resources.
 func (c *Core) remainingOffer(r RackReport) []wire.Size {
 	free := slices.Clone(r.Offer.Free)
-	type given struct {
+	type unseen struct {
 		no   uint64
 		size wire.Size
 	}
-	var list []given
+	var unseenPlacements []unseen
 	for _, j := range c.working.Jobs {
 		if j.State != StateOpen {
 			continue
 		}
-		for _, at := range j.Place {
-			if at.Rack == r.Rack && at.No > r.Heard {
-				list = append(list, given{at.No, j.Spec.Size})
+		for _, assignment := range j.Place {
+			if assignment.Rack == r.Rack && assignment.No > r.Heard {
+				unseenPlacements = append(unseenPlacements, unseen{assignment.No, j.Spec.Size})
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b given) int { return cmp.Compare(a.no, b.no) })
-	for _, g := range list {
-		allocateFirstFit(free, g.size)
+	slices.SortFunc(unseenPlacements, func(a, b unseen) int { return cmp.Compare(a.no, b.no) })
+	for _, u := range unseenPlacements {
+		allocateFirstFit(free, u.size)
 	}
 	return free
 }
 
-// waitingJobs returns the jobs with tasks to place, in the order in which they go.
+// waitingJobs returns the open jobs with unplaced tasks, in the order in which they are placed.
 func (c *Core) waitingJobs() []*Job {
-	var list []*Job
+	var waiting []*Job
 	for _, j := range c.working.Jobs {
 		if j.State == StateOpen && len(j.Place)+int(j.Done.Count()) < j.Spec.N {
-			list = append(list, j)
+			waiting = append(waiting, j)
 		}
 	}
-	slices.SortFunc(list, func(a, b *Job) int {
+	slices.SortFunc(waiting, func(a, b *Job) int {
 		return cmp.Or(cmp.Compare(a.Spec.Precedence(), b.Spec.Precedence()), a.Since.Compare(b.Since), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
-	return list
+	return waiting
 }
 
-// CountWaiting returns how many tasks have no rack yet, and how many of them are standing or urgent.
+// CountWaiting returns the number of tasks that have no rack yet, and the number of those
+// that are long-running or urgent.
 func (c *Core) CountWaiting() (tasks, urgent int) {
 	for _, j := range c.waitingJobs() {
-		n := j.Spec.N - len(j.Place) - int(j.Done.Count())
-		tasks += n
+		waiting := j.Spec.N - len(j.Place) - int(j.Done.Count())
+		tasks += waiting
 		if j.Spec.Precedence() <= urgentPrecedence {
-			urgent += n
+			urgent += waiting
 		}
 	}
 	return tasks, urgent
 }
 
-// countFitting returns how many tasks of the job countFitting into what is free.
+// countFitting returns how many tasks of a job fit into the free resources of the workers.
 func (c *Core) countFitting(free []wire.Size, s Spec) int {
 	n := 0
-	for _, f := range free {
-		for f.Covers(s.Size) && n < s.N {
-			f = f.Minus(s.Size)
+	for _, remaining := range free {
+		for remaining.Covers(s.Size) && n < s.N {
+			remaining = remaining.Minus(s.Size)
 			n++
 		}
 	}
 	return n
 }
 
-func allocateFirstFit(free []wire.Size, s wire.Size) {
+// allocateFirstFit subtracts a size from the first worker's free resources that cover it.
+func allocateFirstFit(free []wire.Size, size wire.Size) {
 	for i := range free {
-		if free[i].Covers(s) {
-			free[i] = free[i].Minus(s)
+		if free[i].Covers(size) {
+			free[i] = free[i].Minus(size)
 			return
 		}
 	}
 }
 
-// maxReportAge is how recent a rack's word must be to count when a job is parked.
+// maxReportAge is how old a rack's last report may be before the rack counts as silent. No job
+// is parked as infeasible while a rack is silent.
 const maxReportAge = 5 * time.Second
 
-// ParkAndExpire parks the jobs that no rack could ever run, and drops finished jobs after
-// their time. zones maps each rack that exists to whether a kind may use it; nothing
-// is parked while one of them is silent.
+// ParkAndExpire parks jobs that fit on no worker of any rack they may use, and removes jobs
+// that ended more than endedRetention ago. racks are the names of all racks; allowed reports
+// whether a kind of job may use a rack. No job is parked while a rack is silent, as it may
+// have a worker that is large enough.
 func (c *Core) ParkAndExpire(now time.Time, racks []string, allowed func(kind, rack string) bool) {
 	silent := slices.ContainsFunc(racks, func(r string) bool {
 		return now.Sub(c.racks[r].reportedAt) > maxReportAge
@@ -142,6 +147,7 @@
 	}
 }
 
+// feasible reports whether a rack that the job may use has a worker large enough for its tasks.
 func (c *Core) feasible(j *Job, racks []string, allowed func(kind, rack string) bool) bool {
 	return slices.ContainsFunc(racks, func(r string) bool {
 		return allowed(j.Spec.Kind, r) && c.racks[r].largestWorker.Covers(j.Spec.Size)
--- a/internal/batch/jobs/report.go
+++ b/internal/batch/jobs/report.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// HandleReport takes in a rack's report. allowed says whether a kind of job may use the rack's
-// failure domain.
+// HandleReport applies a rack's report, places waiting tasks on the rack's offer and returns
+// the reply. allowed reports whether a kind of job may use the rack's failure domain.
 //
-// A report of an older epoch is a former holder's: what it says of tasks isn't true
-// any more and nothing is answered.
+// A report with an older epoch than the rack's last one comes from a former holder of the
+// rack. What it says of tasks is out of date, so it is ignored.
 func (c *Core) HandleReport(now time.Time, r RackReport, allowed func(kind string) bool) RackReply {
 	if r.Ep < c.racks[r.Rack].epoch || !c.EpochCommitted() {
 		return RackReply{}
@@ -26,28 +26,28 @@
 	for _, p := range r.Failed {
 		c.handleFailed(now, r.Rack, p)
 	}
-	for p, kept := range r.Back {
-		c.handleReturned(r.Rack, p, kept)
+	for p, savedWork := range r.Back {
+		c.handleReturned(r.Rack, p, savedWork)
 	}
 	if r.Usable {
 		c.placeTasks(r, allowed)
 	}
-	a := RackReply{OK: true, Run: c.tasksFor(r.Rack), Ended: c.endedPlacements(r.Rack)}
-	a.Waiting, a.Urgent = c.CountWaiting()
-	c.acknowledge(r, &a)
-	return a
+	reply := RackReply{OK: true, Run: c.tasksFor(r.Rack), Ended: c.endedPlacements(r.Rack)}
+	reply.Waiting, reply.Urgent = c.CountWaiting()
+	c.acknowledge(r, &reply)
+	return reply
 }
 
-// EpochCommitted reports whether this holding has written the record.
+// EpochCommitted reports whether the store holds a record written during this holding.
 //
-// It guards against a former holder's last write that is still on its way: it may take
-// effect after the record was read here, and what was told from that reading, such as
-// a task's place, would be wrong. After this holding's own write it can't.
+// Before that, the last write of a former holder may still be in flight and take effect
+// after the record was read here. A reply based on that read would then name wrong
+// placements. Once this holding has written the record, the former holder's write fails.
 func (c *Core) EpochCommitted() bool { return c.committed.HolderEpoch == c.epoch }
 
-// removePlacement ends a placement that is in force on the rack and returns its job while that
-// is open, or nil. What is said of any other placement, or after its job has ended,
-// changes nothing more.
+// removePlacement removes a placement that is in force on the rack, and returns its job if
+// that is open. Otherwise it returns nil: a report about a superseded placement or about an
+// ended job has no further effect.
 func (c *Core) removePlacement(rack string, p Placement) *Job {
 	j := c.working.Jobs[p.Job]
 	if j == nil || j.Place[p.Index] != (Assignment{rack, p.No}) {
@@ -61,9 +61,9 @@
 	return j
 }
 
-// handleFinished notes a task's end. Only the placement in force counts, once: a task that
-// was given up for lost, placed again and then turns out to have handleFinished first
-// doesn't finish twice. One that ends after its job was cancelled changes nothing.
+// handleFinished marks a task as finished if the placement is in force and its job is open.
+// When a task was presumed lost and placed again, a late report that the first placement
+// finished doesn't count, so the task never finishes twice.
 func (c *Core) handleFinished(now time.Time, rack string, p Placement) {
 	j := c.removePlacement(rack, p)
 	if j == nil {
@@ -77,7 +77,8 @@
 	}
 }
 
-// handleReleased forgets which placement finished a task, as nobody will ask again.
+// handleReleased forgets which placement finished a task: its worker has accepted the result,
+// so the rack won't report the placement as finished again.
 func (c *Core) handleReleased(p Placement) {
 	if j := c.working.Jobs[p.Job]; j != nil && j.Won[p.Index] == p.No {
 		delete(j.Won, p.Index)
@@ -85,6 +86,8 @@
 	}
 }
 
+// handleFailed counts a failure of a task, and parks the job when one task has failed
+// maxTaskFailures times. A long-running job is never parked for failures.
 func (c *Core) handleFailed(now time.Time, rack string, p Placement) {
 	j := c.removePlacement(rack, p)
 	if j == nil {
@@ -96,75 +99,78 @@
 	}
 }
 
-func (c *Core) handleReturned(rack string, p Placement, kept time.Duration) {
-	if j := c.removePlacement(rack, p); j != nil && kept > j.Kept[p.Index] {
-		j.Kept[p.Index] = kept
+// handleReturned makes a task wait again that its rack doesn't run, and records the work saved
+// by checkpoints.
+func (c *Core) handleReturned(rack string, p Placement, savedWork time.Duration) {
+	if j := c.removePlacement(rack, p); j != nil && savedWork > j.Kept[p.Index] {
+		j.Kept[p.Index] = savedWork
 	}
 }
 
-// tasksFor returns the tasks that a rack is to run: those that it has both in the store
-// and in the working copy.
+// tasksFor returns the tasks that a rack is to run: those placed on it both in the committed
+// and in the working copy, in order of placement number.
 //
-// It guards against a task in two places: a task on its way from one rack to another
-// is named to neither until the store holds its new place.
+// So a task never runs on two racks: while it moves from one rack to another, neither is
+// to run it until the store holds the new placement.
 func (c *Core) tasksFor(rack string) []Task {
-	var out []Task
+	var tasks []Task
 	for id, j := range c.committed.Jobs {
-		w := c.working.Jobs[id]
-		if w == nil || j.State != StateOpen || w.State != StateOpen {
+		working := c.working.Jobs[id]
+		if working == nil || j.State != StateOpen || working.State != StateOpen {
 			continue
 		}
-		for i, at := range j.Place {
-			if at.Rack == rack && w.Place[i] == at {
-				out = append(out, Task{Placement{id, i, at.No}, j.Spec, j.Kept[i]})
+		for i, assignment := range j.Place {
+			if assignment.Rack == rack && working.Place[i] == assignment {
+				tasks = append(tasks, Task{Placement{id, i, assignment.No}, j.Spec, j.Kept[i]})
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Task) int { return cmp.Compare(a.Place.No, b.Place.No) })
-	return out
+	slices.SortFunc(tasks, func(a, b Task) int { return cmp.Compare(a.Place.No, b.Place.No) })
+	return tasks
 }
 
-// endedPlacements lists the placements on a rack that jobs which have endedPlacements still have.
+// endedPlacements returns the placements that ended jobs still have on a rack.
 func (c *Core) endedPlacements(rack string) []Placement {
-	var out []Placement
+	var placements []Placement
 	for id, j := range c.working.Jobs {
 		if j.State == StateOpen {
 			continue
 		}
-		for i, at := range j.Place {
-			if at.Rack == rack {
-				out = append(out, Placement{id, i, at.No})
+		for i, assignment := range j.Place {
+			if assignment.Rack == rack {
+				placements = append(placements, Placement{id, i, assignment.No})
 			}
 		}
 	}
-	return out
+	return placements
 }
 
-// acknowledge tells which of the reported placements the store has settled.
-func (c *Core) acknowledge(r RackReport, a *RackReply) {
+// acknowledge adds the reported placements whose outcome is committed to the reply. The
+// rack reports the others again.
+func (c *Core) acknowledge(r RackReport, reply *RackReply) {
 	for _, p := range r.Finished {
 		switch j := c.committed.Jobs[p.Job]; {
 		case j != nil && j.Place[p.Index].No == p.No:
 		case j != nil && j.Won[p.Index] == p.No:
-			a.Counts = append(a.Counts, p)
+			reply.Counts = append(reply.Counts, p)
 		default:
-			a.Recorded = append(a.Recorded, p)
+			reply.Recorded = append(reply.Recorded, p)
 		}
 	}
-	settled := func(p Placement) {
+	acknowledgeRemoved := func(p Placement) {
 		if j := c.committed.Jobs[p.Job]; j == nil || j.Place[p.Index].No != p.No {
-			a.Recorded = append(a.Recorded, p)
+			reply.Recorded = append(reply.Recorded, p)
 		}
 	}
 	for _, p := range r.Failed {
-		settled(p)
+		acknowledgeRemoved(p)
 	}
 	for p := range r.Back {
-		settled(p)
+		acknowledgeRemoved(p)
 	}
 	for _, p := range r.Released {
 		if j := c.committed.Jobs[p.Job]; j == nil || j.Won[p.Index] != p.No {
-			a.Recorded = append(a.Recorded, p)
+			reply.Recorded = append(reply.Recorded, p)
 		}
 	}
 }
