--- a/internal/batch/jobs/jobs_test.go
+++ b/internal/batch/jobs/jobs_test.go
@@ -51,9 +51,9 @@
 	return c, c.HandleReport(now, newReport("a", 0), allowAll).Run
 }
 
-// TestNoReplyBeforeFirstWrite guards against a reply that is based on an outdated record. The former holder of a bucket
-// dies with a write in flight, and the new holder reads the record before that write takes
-// effect. A task that the write moves would then run on both racks.
+// TestNoReplyBeforeFirstWrite guards against a reply that is based on an outdated record. The
+// former holder of a bucket dies with a write in flight, and the new holder reads the record
+// before that write takes effect. A task that the write moves would then run on both racks.
 func TestNoReplyBeforeFirstWrite(t *testing.T) {
 	c, _ := newPlacedJob(t, 1)
 	next := New(c.committed, 2)
@@ -66,8 +66,9 @@
 	}
 }
 
-// TestStaleRackHolderIgnored guards against a delayed report of a rack's former holder. It returns a task that the
-// current holder has started; if it counted, the task would be placed again and run twice.
+// TestStaleRackHolderIgnored guards against a delayed report of a rack's former holder. It
+// returns a task that the current holder has started; if it counted, the task would be placed
+// again and run twice.
 func TestStaleRackHolderIgnored(t *testing.T) {
 	c, run := newPlacedJob(t, 1)
 	current := newReport("a", 0)
@@ -81,9 +82,9 @@
 	}
 }
 
-// TestSupersededPlacementIgnored guards against a task that finishes twice. The task is presumed lost and placed again, then
-// the first placement is reported as finished. If that counted, two results would be
-// published: two photo books would be sent out.
+// TestSupersededPlacementIgnored guards against a task that finishes twice. The task is
+// presumed lost and placed again, then the first placement is reported as finished. If that
+// counted, two results would be published: two photo books would be sent out.
 func TestSupersededPlacementIgnored(t *testing.T) {
 	c, run := newPlacedJob(t, 1)
 	returned := newReport("a", 0)
