--- a/internal/batch/hold/bucket.go
+++ b/internal/batch/hold/bucket.go
@@ -16,59 +16,64 @@
 )
 
 const (
+	// bucketKeyPrefix is the prefix of the buckets' keys in the store.
 	bucketKeyPrefix = "jobs/"
-	// commitInterval is how long changes gather before they are written together.
+	// commitInterval is how long changes are collected before they are written together.
 	commitInterval = 200 * time.Millisecond
+	// expireInterval is the time between two checks for jobs to park or to remove.
 	expireInterval = time.Second
 )
 
-// heldBucket is a heldBucket of jobs that is held here.
+// heldBucket is a bucket of jobs that this process holds. The lock guards the fields below
+// it; rev is used by commitLoop alone.
 type heldBucket struct {
 	holder *Holder
 	name   string
-	epoch  uint64
-	rev    uint64 // of the record as last read or written
+	epoch  uint64 // of this holding
+	rev    uint64 // store revision of the record as last read or written
 
 	mu      sync.Mutex
 	core    *jobs.Core
-	closed  bool
-	changed chan struct{} // closed and renewed at each write
-	cancel  context.CancelFunc
+	closed  bool               // the bucket is no longer held here
+	changed chan struct{}      // closed and replaced after each write and when the holding ends
+	cancel  context.CancelFunc // stops commitLoop
 }
 
+// decodeBucket decodes a bucket's record.
 func decodeBucket(value []byte) (jobs.Bucket, error) {
 	var b jobs.Bucket
 	return b, errors.Wrap(json.Unmarshal(value, &b), "hold: record of a bucket")
 }
 
-// loadBucket reads a bucket's record and holds it from now on.
-func (h *Holder) loadBucket(ctx context.Context, name string, row shard.Assignment) {
-	e, err := h.opts.Store.Get(ctx, bucketKeyPrefix+name)
+// loadBucket reads a bucket's record and starts to hold the bucket, unless it was reassigned
+// meanwhile. If the read fails, reconcile tries again.
+func (h *Holder) loadBucket(ctx context.Context, name string, assignment shard.Assignment) {
+	entry, err := h.opts.Store.Get(ctx, bucketKeyPrefix+name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return
 	}
-	var rec jobs.Bucket
+	var record jobs.Bucket
 	if err == nil {
-		if rec, err = decodeBucket(e.Value); err != nil {
-			h.opts.Log.Error(err, "bucket not read", "bucket", name)
+		if record, err = decodeBucket(entry.Value); err != nil {
+			h.opts.Log.Error(err, "bucket record not decoded", "bucket", name)
 			return
 		}
 	}
-	bctx, cancel := context.WithCancel(ctx)
-	b := &heldBucket{holder: h, name: name, epoch: row.Epoch, rev: e.Rev, core: jobs.New(rec, row.Epoch),
+	bucketCtx, cancel := context.WithCancel(ctx)
+	b := &heldBucket{holder: h, name: name, epoch: assignment.Epoch, rev: entry.Rev, core: jobs.New(record, assignment.Epoch),
 		changed: make(chan struct{}), cancel: cancel}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if mine, ok := h.opts.Keeper.OwnAssignments(BucketTable)[name]; !ok || mine.Epoch != row.Epoch || h.buckets[name] != nil {
+	if own, ok := h.opts.Keeper.OwnAssignments(BucketTable)[name]; !ok || own.Epoch != assignment.Epoch || h.buckets[name] != nil {
 		cancel()
 		return
 	}
 	h.buckets[name] = b
-	h.wg.Go(func() { b.commitLoop(bctx) })
-	h.opts.Log.V(1).Info("bucket held", "bucket", name, "ep", row.Epoch, "jobs", len(rec.Jobs))
+	h.wg.Go(func() { b.commitLoop(bucketCtx) })
+	h.opts.Log.V(1).Info("bucket held", "bucket", name, "ep", assignment.Epoch, "jobs", len(record.Jobs))
 }
 
-// close stops the holding; nothing is answered from it any more.
+// close ends the holding: from now on the bucket answers no report and no submission.
 func (b *heldBucket) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,20 +82,21 @@
 	b.notifyWaiters()
 }
 
+// notifyWaiters wakes the submissions that wait for a write. The lock is held.
 func (b *heldBucket) notifyWaiters() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// commitLoop writes the record whenever something has changed: one write at a time, with all
-// that has gathered since the last.
+// commitLoop writes the record when it has changed, until the holding ends: one write at a
+// time, with all changes since the last one. In between it parks and removes jobs.
 func (b *heldBucket) commitLoop(ctx context.Context) {
 	t := time.NewTicker(commitInterval)
 	defer t.Stop()
-	var reviewed time.Time
+	var lastExpiry time.Time
 	for {
-		if time.Since(reviewed) > expireInterval {
-			reviewed = time.Now()
+		if time.Since(lastExpiry) > expireInterval {
+			lastExpiry = time.Now()
 			b.parkAndExpire()
 		}
 		if !b.commit(ctx) {
@@ -104,8 +110,9 @@
 	}
 }
 
+// parkAndExpire parks infeasible jobs and removes jobs that ended long ago.
 func (b *heldBucket) parkAndExpire() {
-	conf := b.holder.opts.Config()
+	config := b.holder.opts.Config()
 	zones := b.holder.rackZones()
 	var racks []string
 	for r := range zones {
@@ -113,10 +120,10 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.ParkAndExpire(time.Now(), racks, func(kind, rack string) bool { return kindAllowed(conf, kind, zones[rack]) })
+	b.core.ParkAndExpire(time.Now(), racks, func(kind, rack string) bool { return kindAllowed(config, kind, zones[rack]) })
 }
 
-// commit writes what has changed and reports whether the bucket is still held.
+// commit writes the record if it has changed, and reports whether the bucket is still held.
 func (b *heldBucket) commit(ctx context.Context) bool {
 	b.mu.Lock()
 	if b.closed || !b.core.NeedsWrite() {
@@ -126,11 +133,11 @@
 	value, err := b.core.BeginWrite(uuid.NewString())
 	b.mu.Unlock()
 	if err != nil {
-		b.holder.opts.Log.Error(err, "bucket not written", "bucket", b.name)
+		b.holder.opts.Log.Error(err, "bucket record not encoded", "bucket", b.name)
 		return false
 	}
-	// While the store is away this goes on trying: nothing that waits for the write is
-	// answered meanwhile.
+	// The write is retried while the store is unreachable. Submissions that wait for it get
+	// no reply meanwhile.
 	err = store.SwapWithRetry(ctx, b.holder.opts.Store, bucketKeyPrefix+b.name, value, b.rev, store.ValueEquals(value))
 	if err == nil {
 		err = b.readRevision(ctx, value)
@@ -146,8 +153,9 @@
 	return true
 }
 
-// abandon drops a holding whose record another has written, or whose last write is
-// uncertain; it is read anew. The lock is held.
+// abandon ends a holding whose record another process has written, or whose last write has
+// an unknown outcome. If the bucket is still assigned to this process, reconcile reads the
+// record again. The lock is held.
 func (b *heldBucket) abandon(err error) {
 	b.closed = true
 	b.cancel()
@@ -158,6 +166,7 @@
 	go b.holder.removeBucket(b)
 }
 
+// removeBucket removes a bucket whose holding has ended.
 func (h *Holder) removeBucket(b *heldBucket) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -166,8 +175,8 @@
 	}
 }
 
-// readRevision finds the revision of the record just written; the service's answer to a
-// write doesn't name it.
+// readRevision reads the store revision of the record just written, as the store's answer to
+// a write doesn't contain it. It returns store.ErrConflict if the record has changed.
 func (b *heldBucket) readRevision(ctx context.Context, value []byte) error {
 	for {
 		e, err := b.holder.opts.Store.Get(ctx, bucketKeyPrefix+b.name)
@@ -184,7 +193,7 @@
 	}
 }
 
-// submit takes in a job or its cancellation and waits until the store holds it.
+// submit handles a submission or a cancellation and waits until the store holds its effect.
 func (b *heldBucket) submit(ctx context.Context, in SubmitArgs) SubmitReply {
 	b.mu.Lock()
 	if b.closed {
@@ -204,12 +213,12 @@
 	for {
 		b.mu.Lock()
 		j, ok := b.core.CommittedJob(in.Spec.ID)
-		ended, changed := b.closed, b.changed
+		closed, changed := b.closed, b.changed
 		b.mu.Unlock()
 		switch {
 		case ok && (!in.Cancel || j.State != jobs.StateOpen):
 			return SubmitReply{Job: j, Code: CodeOK}
-		case ended:
+		case closed:
 			return SubmitReply{Code: CodeOutcomeUnknown, Text: ErrOutcomeUnknown.Error()}
 		}
 		select {
@@ -220,6 +229,7 @@
 	}
 }
 
+// codeOf returns the code of an error of a submission or a cancellation.
 func codeOf(err error) Code {
 	switch {
 	case errors.Is(err, jobs.ErrInvalidSpec):
@@ -232,17 +242,18 @@
 	return CodeBucketFull
 }
 
-// handleReport answers a rack's report.
-func (b *heldBucket) handleReport(rep jobs.RackReport) jobs.RackReply {
-	conf := b.holder.opts.Config()
+// handleReport returns the reply to a rack's report. The reply isn't OK when the bucket is no
+// longer held here.
+func (b *heldBucket) handleReport(report jobs.RackReport) jobs.RackReply {
+	config := b.holder.opts.Config()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// Sure is asked with the lock held and last: an answer from a holding that has
-	// lapsed would name places that another holder has changed since.
+	// Authorized is called last and with the lock held: the reply of a holding that has
+	// expired would contain placements that another holder may have changed since.
 	if b.closed || !b.holder.opts.Keeper.Authorized() {
 		return jobs.RackReply{}
 	}
-	return b.core.HandleReport(time.Now(), rep, func(kind string) bool {
-		return kindAllowed(conf, kind, rep.Zone) && conf.IsZoneUsable(rep.Zone)
+	return b.core.HandleReport(time.Now(), report, func(kind string) bool {
+		return kindAllowed(config, kind, report.Zone) && config.IsZoneUsable(report.Zone)
 	})
 }
--- a/internal/batch/hold/holder.go
+++ b/internal/batch/hold/holder.go
@@ -22,50 +22,51 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// The tables of what is held.
+// The names of the assignment tables.
 const (
-	BucketTable = "buckets"
-	RackTable   = "racks"
+	BucketTable = "buckets" // which process holds each bucket of jobs
+	RackTable   = "racks"   // which process holds each rack of workers
 )
 
 var (
-	// ErrOutcomeUnknown says that whoever holds the job's bucket can't be reached or hasn't the
-	// record yet. The submission or cancellation may yet take effect; repeating it is safe.
+	// ErrOutcomeUnknown means that the holder of the job's bucket didn't confirm the call: it
+	// can't be reached or hasn't read the record yet. The submission or cancellation may still
+	// take effect; repeating it is safe.
 	ErrOutcomeUnknown = errors.New("hold: bucket not reached; the outcome is unknown, repeat the call")
 )
 
-// Options says how a Holder is set up; all fields are needed.
+// Options are the settings of a Holder. All fields are required.
 type Options struct {
 	Store        store.Store
-	Group        *member.Group
-	Keeper       *shard.Assigner
-	Links        *link.Set
-	Config       func() sheet.Config
-	ConfigAge    func() time.Duration // of the last confirmation of the configuration
-	Hosts        func() []hosts.Host
-	BucketCount  int
-	LeaseTTL     time.Duration // of workers' tasks
-	PollInterval time.Duration // between two rounds
-	MaxConfigAge time.Duration
-	CallTimeout  time.Duration // of one call to a peer or a worker
+	Group        *member.Group        // this process and its peers
+	Keeper       *shard.Assigner      // which buckets and racks each process holds
+	Links        *link.Set            // connections to peers
+	Config       func() sheet.Config  // the configuration in force
+	ConfigAge    func() time.Duration // time since the configuration was last confirmed
+	Hosts        func() []hosts.Host  // the host list
+	BucketCount  int                  // number of buckets
+	LeaseTTL     time.Duration        // lease of a worker; its tasks stop when it expires
+	PollInterval time.Duration        // between two rounds of Run
+	MaxConfigAge time.Duration        // oldest confirmation of the configuration with which a task may start
+	CallTimeout  time.Duration        // of one call to a peer or a worker
 	Log          logr.Logger
 	Scope        tally.Scope
 }
 
-// Holder runs what the process holds; New makes one and Run keeps it going.
+// Holder runs the buckets and racks that this process holds. The lock guards the maps.
 type Holder struct {
 	opts         Options
 	workerClient *workerClient
 
 	mu       sync.Mutex
-	buckets  map[string]*heldBucket
-	racks    map[string]*heldRack
-	claiming map[string]bool // under way, by table and item
-	syncing  map[string]bool // reports under way, by process
-	wg       sync.WaitGroup
+	buckets  map[string]*heldBucket // by name
+	racks    map[string]*heldRack   // by name
+	claiming map[string]bool        // claims under way, by table and item
+	syncing  map[string]bool        // processes with a call of syncWith under way, by id
+	wg       sync.WaitGroup         // the goroutines that Run waits for
 }
 
-// New returns a holder of nothing.
+// New returns a Holder that holds nothing yet.
 func New(o Options) *Holder {
 	return &Holder{opts: o, workerClient: newWorkerClient(o.CallTimeout), buckets: map[string]*heldBucket{},
 		racks: map[string]*heldRack{}, claiming: map[string]bool{}, syncing: map[string]bool{}}
@@ -74,14 +75,14 @@
 // BucketName returns the name of the n-th bucket.
 func BucketName(n int) string { return fmt.Sprintf("b%03d", n) }
 
-// BucketOf returns the bucket that a job belongs to, for good.
+// BucketOf returns the name of the bucket that a job belongs to. It never changes for a job.
 func (h *Holder) BucketOf(job string) string {
 	f := fnv.New32a()
 	_, _ = f.Write([]byte(job))
 	return BucketName(int(f.Sum32() % uint32(h.opts.BucketCount)))
 }
 
-// Items returns what there is to be held.
+// Items returns all buckets and racks that processes may hold, by table.
 func (h *Holder) Items() map[string][]shard.Item {
 	out := map[string][]shard.Item{}
 	for i := range h.opts.BucketCount {
@@ -93,6 +94,7 @@
 	return out
 }
 
+// rackZones returns the failure domain of each rack on the host list.
 func (h *Holder) rackZones() map[string]string {
 	zones := map[string]string{}
 	for _, w := range h.opts.Hosts() {
@@ -103,7 +105,7 @@
 	return zones
 }
 
-// Run works until ctx ends.
+// Run runs what this process holds, in rounds of PollInterval, until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	t := time.NewTicker(h.opts.PollInterval)
 	defer t.Stop()
@@ -121,11 +123,12 @@
 	}
 }
 
-// reconcile brings what is run here in line with the tables.
+// reconcile drops the buckets and racks that are no longer assigned to this process, and claims
+// those that are newly assigned.
 func (h *Holder) reconcile(ctx context.Context) {
 	buckets, racks := h.opts.Keeper.OwnAssignments(BucketTable), h.opts.Keeper.OwnAssignments(RackTable)
 	if !h.opts.Keeper.Authorized() {
-		return // nothing is begun or ended while it isn't certain what is held
+		return // the assignments may be out of date, so nothing is started or stopped
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,28 +139,29 @@
 		}
 	}
 	for name, r := range h.racks {
-		if row, ok := racks[name]; !ok || row.Epoch != r.epoch {
+		if assignment, ok := racks[name]; !ok || assignment.Epoch != r.epoch {
 			delete(h.racks, name)
 		}
 	}
-	for name, row := range buckets {
+	for name, assignment := range buckets {
 		if h.buckets[name] == nil {
-			h.startClaim(ctx, BucketTable, name, row, h.loadBucket)
+			h.startClaim(ctx, BucketTable, name, assignment, h.loadBucket)
 		}
 	}
 	zones := h.rackZones()
-	for name, row := range racks {
-		// A rack that the host list doesn't name yet stays with its former holder.
+	for name, assignment := range racks {
+		// A rack that isn't on the host list yet is not claimed: it stays with its former holder.
 		if zone, ok := zones[name]; ok && h.racks[name] == nil {
-			h.startClaim(ctx, RackTable, name, row, func(_ context.Context, name string, row shard.Assignment) {
-				h.addRack(name, zone, row)
+			h.startClaim(ctx, RackTable, name, assignment, func(_ context.Context, name string, assignment shard.Assignment) {
+				h.addRack(name, zone, assignment)
 			})
 		}
 	}
 }
 
-// startClaim takes an item over in the background; the lock is held.
-func (h *Holder) startClaim(ctx context.Context, table, name string, row shard.Assignment, take func(context.Context, string, shard.Assignment)) {
+// startClaim claims an item in the background, unless a claim is under way, and calls start once
+// it is claimed. The lock is held.
+func (h *Holder) startClaim(ctx context.Context, table, name string, assignment shard.Assignment, start func(context.Context, string, shard.Assignment)) {
 	key := table + "/" + name
 	if h.claiming[key] {
 		return
@@ -169,25 +173,27 @@
 			delete(h.claiming, key)
 			h.mu.Unlock()
 		}()
-		if h.claimItem(ctx, table, name, row) {
-			take(ctx, name, row)
+		if h.claimItem(ctx, table, name, assignment) {
+			start(ctx, name, assignment)
 		}
 	})
 }
 
-// YieldArgs asks a former holder to act no more on an item.
+// YieldArgs asks a process to stop acting on an item that is assigned to the caller.
 type YieldArgs struct {
 	Table string
-	Item  string
-	Ep    uint64
+	Item  string // name of the bucket or rack
+	Ep    uint64 // epoch of the caller's holding
 }
 
-// claimItem makes sure that no other process acts on the item any more: members say so
-// themselves; the lease of one that isn't a member has lapsed, and it has stopped by
-// its own clock. All are asked, not only the holder before: when an item moves on
-// quickly, that one may never have taken it over, and the one before it is still at it.
-func (h *Holder) claimItem(ctx context.Context, table, name string, row shard.Assignment) bool {
-	if row.FormerHolder == "" {
+// claimItem makes sure that no other process acts on an item any more, and returns false if
+// it couldn't. Every other member has to confirm that it has stopped. A process that isn't a
+// member needs no call: its lease has expired, and it has stopped by its own clock. Calling
+// the former holder alone wouldn't be enough: when an item is reassigned twice in quick
+// succession, that process may never have taken it over, while the holder before it still
+// acts on it.
+func (h *Holder) claimItem(ctx context.Context, table, name string, assignment shard.Assignment) bool {
+	if assignment.FormerHolder == "" {
 		return true
 	}
 	self := h.opts.Group.Self().ID
@@ -195,17 +201,17 @@
 		if m.ID == self {
 			continue
 		}
-		cctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
-		done, err := link.Call[YieldArgs, bool](cctx, h.opts.Links.Get(m.Addr), "Peer.Yield", YieldArgs{table, name, row.Epoch})
+		callCtx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
+		yielded, err := link.Call[YieldArgs, bool](callCtx, h.opts.Links.Get(m.Addr), "Peer.Yield", YieldArgs{table, name, assignment.Epoch})
 		cancel()
-		if err != nil || !done {
+		if err != nil || !yielded {
 			return false
 		}
 	}
 	return true
 }
 
-// HandleYield answers a claim.
+// HandleYield stops acting on an item that another process claims with a newer epoch.
 func (h *Holder) HandleYield(in YieldArgs) bool {
 	h.opts.Keeper.YieldItem(in.Table, in.Item, in.Ep)
 	h.mu.Lock()
@@ -224,65 +230,67 @@
 	return true
 }
 
-// CountHeld returns how many racks and buckets are held here.
+// CountHeld returns the number of racks and buckets that this process holds.
 func (h *Holder) CountHeld() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.racks) + len(h.buckets)
 }
 
-// HeldNames returns the racks and the buckets that are held here, in order.
+// HeldNames returns the sorted names of the racks and of the buckets that this process holds.
 func (h *Holder) HeldNames() (racks, buckets []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(maps.Keys(h.racks)), slices.Sorted(maps.Keys(h.buckets))
 }
 
+// getBucket returns a bucket that this process holds, or nil.
 func (h *Holder) getBucket(name string) *heldBucket {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.buckets[name]
 }
 
-// kindAllowed reports whether a kind of job may use a failure domain.
+// kindAllowed reports whether the configuration declares a kind of job for a failure domain.
 func kindAllowed(c sheet.Config, kind, zone string) bool {
 	j, ok := c.Sheet().FindJobKind(kind)
 	return ok && slices.Contains(j.Zones, zone)
 }
 
-// bucketHolder returns the member that holds a bucket.
+// bucketHolder returns the member that a bucket is assigned to.
 func (h *Holder) bucketHolder(bucket string) (member.Member, bool) {
 	return h.opts.Group.View().Get(h.opts.Keeper.HolderOf(BucketTable, bucket))
 }
 
-// SubmitArgs carries a job to its bucket's holder, or with Cancel set its id.
+// SubmitArgs is a submission or a cancellation that is sent to the holder of a job's bucket.
 type SubmitArgs struct {
-	Spec   jobs.Spec
-	Cancel bool
+	Spec   jobs.Spec // only its ID is used for a cancellation
+	Cancel bool      // cancel the job instead of submitting it
 }
 
-// SubmitReply is its answer: the job as the store holds it, or why not.
+// SubmitReply is the reply to SubmitArgs.
 type SubmitReply struct {
-	Job  jobs.Job
+	Job  jobs.Job // as the store holds it, with CodeOK
 	Code Code
-	Text string
+	Text string // the error, with any other code
 }
 
 // Code is the stable name of the outcome of a submission or cancellation.
 type Code string
 
-// The outcomes.
+// The outcomes of a submission or cancellation.
 const (
 	CodeOK             Code = "ok"
-	CodeInvalid        Code = "invalid"
-	CodeIDTaken        Code = "id-taken"
-	CodeNotFound       Code = "not-found"
-	CodeBucketFull     Code = "full"
-	CodeOutcomeUnknown Code = "outcome-unknown"
+	CodeInvalid        Code = "invalid"         // the spec is invalid
+	CodeIDTaken        Code = "id-taken"        // a different job has the id
+	CodeNotFound       Code = "not-found"       // no job has the id
+	CodeBucketFull     Code = "full"            // no room in the bucket's record
+	CodeOutcomeUnknown Code = "outcome-unknown" // not confirmed; it may still take effect
 )
 
-// Submit brings a job, or its cancellation, to where it belongs and waits until the
-// store holds it. With CodeAway it may or may not come to be held; repeating is safe.
+// Submit sends a submission or a cancellation to the holder of the job's bucket and waits
+// until the store holds its effect. With CodeOutcomeUnknown it may or may not take effect;
+// repeating the call is safe.
 func (h *Holder) Submit(ctx context.Context, in SubmitArgs) SubmitReply {
 	if !in.Cancel {
 		if err := h.validate(in.Spec); err != nil {
@@ -292,20 +300,21 @@
 	t := time.NewTicker(commitInterval)
 	defer t.Stop()
 	for {
-		rep := h.submitOnce(ctx, in)
-		if rep.Code != CodeOutcomeUnknown {
-			return rep
+		reply := h.submitOnce(ctx, in)
+		if reply.Code != CodeOutcomeUnknown {
+			return reply
 		}
-		// The bucket is changing hands or its holder is away; the call is idempotent.
+		// The bucket is being reassigned or its holder is unreachable. The call is idempotent, so
+		// it is repeated.
 		select {
 		case <-ctx.Done():
-			return rep
+			return reply
 		case <-t.C:
 		}
 	}
 }
 
-// submitOnce brings a job to its bucket's holder once.
+// submitOnce makes one attempt to send a submission or a cancellation to the bucket's holder.
 func (h *Holder) submitOnce(ctx context.Context, in SubmitArgs) SubmitReply {
 	name := h.BucketOf(in.Spec.ID)
 	if h.getBucket(name) != nil {
@@ -315,14 +324,14 @@
 	if !ok || m.ID == h.opts.Group.Self().ID {
 		return SubmitReply{Code: CodeOutcomeUnknown, Text: ErrOutcomeUnknown.Error()}
 	}
-	rep, err := link.Call[SubmitArgs, SubmitReply](ctx, h.opts.Links.Get(m.Addr), "Peer.Submit", in)
+	reply, err := link.Call[SubmitArgs, SubmitReply](ctx, h.opts.Links.Get(m.Addr), "Peer.Submit", in)
 	if err != nil {
 		return SubmitReply{Code: CodeOutcomeUnknown, Text: ErrOutcomeUnknown.Error()}
 	}
-	return rep
+	return reply
 }
 
-// validate refuses what can't be run whatever happens.
+// validate returns an error for a spec that is invalid or whose kind isn't declared.
 func (h *Holder) validate(s jobs.Spec) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -333,7 +342,7 @@
 	return nil
 }
 
-// SubmitLocal takes in a job, or its cancellation, for a bucket held here.
+// SubmitLocal handles a submission or a cancellation for a bucket that this process holds.
 func (h *Holder) SubmitLocal(ctx context.Context, in SubmitArgs) SubmitReply {
 	b := h.getBucket(h.BucketOf(in.Spec.ID))
 	if b == nil {
@@ -342,20 +351,20 @@
 	return b.submit(ctx, in)
 }
 
-// ReadJob returns a job as the store holds it.
+// ReadJob reads a job from the store, whichever process holds its bucket.
 func (h *Holder) ReadJob(ctx context.Context, id string) SubmitReply {
-	e, err := h.opts.Store.Get(ctx, bucketKeyPrefix+h.BucketOf(id))
+	entry, err := h.opts.Store.Get(ctx, bucketKeyPrefix+h.BucketOf(id))
 	if errors.Is(err, store.ErrNotFound) {
 		return SubmitReply{Code: CodeNotFound, Text: jobs.ErrNotFound.Error()}
 	}
 	if err != nil {
 		return SubmitReply{Code: CodeOutcomeUnknown, Text: err.Error()}
 	}
-	rec, err := decodeBucket(e.Value)
+	record, err := decodeBucket(entry.Value)
 	if err != nil {
 		return SubmitReply{Code: CodeOutcomeUnknown, Text: err.Error()}
 	}
-	j := rec.Jobs[id]
+	j := record.Jobs[id]
 	if j == nil {
 		return SubmitReply{Code: CodeNotFound, Text: jobs.ErrNotFound.Error()}
 	}
--- a/internal/batch/hold/holder_test.go
+++ b/internal/batch/hold/holder_test.go
@@ -19,9 +19,9 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// newTestHolder returns the holder of the only member, to whom the table gives rack0. The
-// host list is empty until it is set.
-func newTestHolder(t *testing.T, list *[]hosts.Host) *Holder {
+// newTestHolder returns the Holder of the only member of a group, to which rack0 is assigned.
+// Its host list is what hostList points to at the time.
+func newTestHolder(t *testing.T, hostList *[]hosts.Host) *Holder {
 	t.Helper()
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
@@ -33,7 +33,7 @@
 		LeaseTTL: time.Hour, WatchTimeout: time.Minute, HeartbeatInterval: time.Minute, HeartbeatTimeout: time.Minute, Log: logr.Discard(),
 		OnJoin: func() { joined <- struct{}{} },
 	})
-	keeper := shard.NewAssigner(shard.Options{
+	assigner := shard.NewAssigner(shard.Options{
 		Store: s, Group: group, WatchTimeout: time.Minute, Log: logr.Discard(),
 		ListItems:     func() map[string][]shard.Item { return nil },
 		OnTableChange: func(string, shard.Table) {},
@@ -53,38 +53,39 @@
 	if err := s.Swap(ctx, "assign/"+RackTable, value, 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := keeper.ReadTables(ctx); err != nil {
+	if err := assigner.ReadTables(ctx); err != nil {
 		t.Fatal(err)
 	}
 	return New(Options{
-		Store: s, Group: group, Keeper: keeper, Links: links,
+		Store: s, Group: group, Keeper: assigner, Links: links,
 		Config:      func() sheet.Config { return sheet.Config{} },
 		ConfigAge:   func() time.Duration { return 0 },
-		Hosts:       func() []hosts.Host { return *list },
+		Hosts:       func() []hosts.Host { return *hostList },
 		BucketCount: 1, LeaseTTL: time.Minute, PollInterval: time.Second, MaxConfigAge: time.Minute, CallTimeout: time.Minute,
 		Log: logr.Discard(), Scope: tally.NoopScope,
 	})
 }
 
-// A process that has just started is given a rack before it has read the host list.
-// Holding the rack without its failure domain, it would never get a task for it.
+// TestRackBeforeHostList guards against a rack that is held without its failure domain, as no
+// task is ever placed on it. A process that has just started may be assigned the rack before
+// it has read the host list.
 func TestRackBeforeHostList(t *testing.T) {
-	var list []hosts.Host
-	h := newTestHolder(t, &list)
-	follow := func() []*heldRack {
+	var hostList []hosts.Host
+	h := newTestHolder(t, &hostList)
+	reconcile := func() []*heldRack {
 		h.reconcile(context.Background())
 		h.wg.Wait()
 		return h.heldRacks()
 	}
-	for _, r := range follow() {
-		t.Errorf("%s is held in failure domain %q", r.name, r.core.Zone())
+	for _, r := range reconcile() {
+		t.Errorf("%s is held before the host list is known, in failure domain %q", r.name, r.core.Zone())
 	}
-	list = []hosts.Host{{Addr: "w0", Kind: hosts.KindWorker, Zone: "cartago", Rack: "rack0", State: hosts.StateLive}}
-	racks := follow()
+	hostList = []hosts.Host{{Addr: "w0", Kind: hosts.KindWorker, Zone: "cartago", Rack: "rack0", State: hosts.StateLive}}
+	racks := reconcile()
 	if len(racks) != 1 {
-		t.Fatalf("%d racks are held", len(racks))
+		t.Fatalf("%d racks are held, want 1", len(racks))
 	}
 	if zone := racks[0].core.Zone(); zone != "cartago" {
-		t.Errorf("%s is held in failure domain %q", racks[0].name, zone)
+		t.Errorf("%s is held in failure domain %q, want cartago", racks[0].name, zone)
 	}
 }
--- a/internal/batch/hold/rack.go
+++ b/internal/batch/hold/rack.go
@@ -14,31 +14,33 @@
 	"bramleysail.example/bramleysail/internal/plat/hosts"
 )
 
-// heldRack is a rack that is held here.
+// heldRack is a rack that this process holds. The lock guards the fields below it.
 type heldRack struct {
 	name  string
-	epoch uint64
+	epoch uint64 // of this holding
 
 	mu           sync.Mutex
 	core         *rack.Core
-	waitingTasks map[string]int // tasks without a rack, by bucket, as last heard
-	urgentTasks  map[string]int // those of them that are urgent
-	lastOffered  int
-	polling      map[string]bool // workers with a report under way
+	waitingTasks map[string]int  // number of tasks without a rack, by bucket, as last replied
+	urgentTasks  map[string]int  // number of those that are long-running or urgent
+	lastOffered  int             // number of the bucket that the last offer went to
+	polling      map[string]bool // workers with a poll under way, by address
 }
 
-// addRack holds a rack from now on; its workers are fenced one by one.
-func (h *Holder) addRack(name, zone string, row shard.Assignment) {
-	r := &heldRack{name: name, epoch: row.Epoch, waitingTasks: map[string]int{}, urgentTasks: map[string]int{}, polling: map[string]bool{},
-		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Epoch: row.Epoch, LeaseTTL: h.opts.LeaseTTL, MaxConfigAge: h.opts.MaxConfigAge, BucketOf: h.BucketOf})}
+// addRack starts to hold a rack, unless it was reassigned meanwhile. Its workers are fenced
+// one by one.
+func (h *Holder) addRack(name, zone string, assignment shard.Assignment) {
+	r := &heldRack{name: name, epoch: assignment.Epoch, waitingTasks: map[string]int{}, urgentTasks: map[string]int{}, polling: map[string]bool{},
+		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Epoch: assignment.Epoch, LeaseTTL: h.opts.LeaseTTL, MaxConfigAge: h.opts.MaxConfigAge, BucketOf: h.BucketOf})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if mine, ok := h.opts.Keeper.OwnAssignments(RackTable)[name]; ok && mine.Epoch == row.Epoch && h.racks[name] == nil {
+	if own, ok := h.opts.Keeper.OwnAssignments(RackTable)[name]; ok && own.Epoch == assignment.Epoch && h.racks[name] == nil {
 		h.racks[name] = r
-		h.opts.Log.Info("rack held", "rack", name, "zone", zone, "ep", row.Epoch)
+		h.opts.Log.Info("rack held", "rack", name, "zone", zone, "ep", assignment.Epoch)
 	}
 }
 
+// heldRacks returns the racks that this process holds, sorted by name.
 func (h *Holder) heldRacks() []*heldRack {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,13 +57,13 @@
 	return list
 }
 
-// tickRacks lets each rack's core do what is due and carries it out.
+// tickRacks sends the commands that are due on each rack, and polls the workers.
 func (h *Holder) tickRacks(ctx context.Context) {
 	if !h.opts.Keeper.Authorized() {
 		return
 	}
 	now := time.Now()
-	conf := h.opts.Config()
+	config := h.opts.Config()
 	confirmed := now.Add(-min(h.opts.ConfigAge(), time.Hour))
 	byRack := map[string][]string{}
 	for _, w := range h.opts.Hosts() {
@@ -72,7 +74,7 @@
 	for _, r := range h.heldRacks() {
 		r.mu.Lock()
 		r.core.SetWorkers(byRack[r.name])
-		actions := r.core.Tick(now, rack.ZoneStatus{Usable: conf.IsZoneUsable(r.core.Zone()), ConfirmedAt: confirmed})
+		actions := r.core.Tick(now, rack.ZoneStatus{Usable: config.IsZoneUsable(r.core.Zone()), ConfirmedAt: confirmed})
 		r.mu.Unlock()
 		for _, a := range actions {
 			h.wg.Go(func() { h.execute(ctx, r, a) })
@@ -81,46 +83,49 @@
 	}
 }
 
-// execute carries out one command and hands its result to the core.
+// execute sends one command to a worker and passes the result to the rack's core.
 func (h *Holder) execute(ctx context.Context, r *heldRack, a rack.Action) {
 	switch a := a.(type) {
 	case rack.Fence:
-		res := sendCommand(ctx, h.workerClient, a.Addr, "fence", a.Msg)
-		r.update(func(now time.Time) { r.core.HandleFenceResult(now, a.Addr, res) })
+		result := sendCommand(ctx, h.workerClient, a.Addr, "fence", a.Msg)
+		r.update(func(now time.Time) { r.core.HandleFenceResult(now, a.Addr, result) })
 	case rack.Renew:
-		res := sendCommand(ctx, h.workerClient, a.Addr, "renew", a.Msg)
-		r.update(func(now time.Time) { r.core.HandleRenewResult(now, a.Addr, res) })
+		result := sendCommand(ctx, h.workerClient, a.Addr, "renew", a.Msg)
+		r.update(func(now time.Time) { r.core.HandleRenewResult(now, a.Addr, result) })
 	case rack.Start:
-		res := sendCommand(ctx, h.workerClient, a.Addr, "start", a.Msg)
-		h.opts.Scope.Tagged(map[string]string{"result": resultLabel(res)}).Counter("starts").Inc(1)
-		r.update(func(now time.Time) { r.core.HandleStartResult(now, a.Placement, res) })
+		result := sendCommand(ctx, h.workerClient, a.Addr, "start", a.Msg)
+		h.opts.Scope.Tagged(map[string]string{"result": resultLabel(result)}).Counter("starts").Inc(1)
+		r.update(func(now time.Time) { r.core.HandleStartResult(now, a.Placement, result) })
 	case rack.TaskCommand:
-		res := sendCommand(ctx, h.workerClient, a.Addr, "act", a.Msg)
+		result := sendCommand(ctx, h.workerClient, a.Addr, "act", a.Msg)
 		if a.Msg.Verb == wire.VerbCheckpoint || a.Msg.Verb == wire.VerbStop {
 			h.opts.Scope.Tagged(map[string]string{"verb": string(a.Msg.Verb)}).Counter("evictions").Inc(1)
 			h.opts.Log.Info("task evicted", "task", a.Msg.TaskID, "verb", string(a.Msg.Verb), "worker", a.Addr)
 		}
-		r.update(func(now time.Time) { r.core.HandleTaskCommandResult(now, a.Placement, a.Msg.Verb, res) })
+		r.update(func(now time.Time) { r.core.HandleTaskCommandResult(now, a.Placement, a.Msg.Verb, result) })
 	}
 }
 
-func resultLabel(res rack.CommandResult) string {
+// resultLabel returns the label of a command's result in the metric of starts.
+func resultLabel(result rack.CommandResult) string {
 	switch {
-	case res.NoAnswer:
+	case result.NoAnswer:
 		return "lost"
-	case res.Refusal != "":
-		return string(res.Refusal)
+	case result.Refusal != "":
+		return string(result.Refusal)
 	}
 	return "ok"
 }
 
+// update calls f with the current time while it holds the lock.
 func (r *heldRack) update(f func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(time.Now())
 }
 
-// pollWorkers reads the workers' lagging reports.
+// pollWorkers reads the reports of the workers that have no poll under way. Such a report may
+// be out of date.
 func (h *Holder) pollWorkers(ctx context.Context, r *heldRack, addrs []string) {
 	for _, addr := range addrs {
 		r.mu.Lock()
@@ -142,18 +147,20 @@
 	}
 }
 
-// SyncArgs carries the reports of all racks that a process holds to another, by bucket.
-// One call for all keeps the number of calls with the processes, not with the racks.
+// SyncArgs contains the reports of all racks that one process holds to the buckets that
+// another process holds. With one call for all of them the number of calls grows with the
+// number of processes, not of racks.
 type SyncArgs struct {
-	Reports map[string][]jobs.RackReport
+	Reports map[string][]jobs.RackReport // by bucket
 }
 
-// SyncReply carries the answers, in the order of the reports.
+// SyncReply is the reply to SyncArgs.
 type SyncReply struct {
-	Answers map[string][]jobs.RackReply
+	Answers map[string][]jobs.RackReply // by bucket, in the order of the reports
 }
 
-// syncRacks lets the racks report to the holders of all buckets.
+// syncRacks sends the reports of the held racks to the holders of all buckets, one call to
+// each process that has none under way.
 func (h *Holder) syncRacks(ctx context.Context) {
 	if !h.opts.Keeper.Authorized() {
 		return
@@ -166,22 +173,22 @@
 		}
 	}
 	racks := h.heldRacks()
-	offered := make([]string, len(racks))
+	offeredBuckets := make([]string, len(racks))
 	for i, r := range racks {
-		offered[i] = r.nextBucket(h.opts.BucketCount)
+		offeredBuckets[i] = r.nextBucket(h.opts.BucketCount)
 	}
-	for id, names := range byHolder {
+	for id, bucketNames := range byHolder {
 		if len(racks) == 0 || !h.beginSync(id) {
 			continue
 		}
 		h.wg.Go(func() {
 			defer h.endSync(id)
-			h.syncWith(ctx, racks, id, names, offered)
+			h.syncWith(ctx, racks, id, bucketNames, offeredBuckets)
 		})
 	}
 }
 
-// beginSync notes a call to a process and reports whether none is under way.
+// beginSync marks a process as having a call under way. It returns false if it already has one.
 func (h *Holder) beginSync(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -192,23 +199,25 @@
 	return true
 }
 
+// endSync marks a process as having no call under way.
 func (h *Holder) endSync(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.syncing, id)
 }
 
-// nextBucket names the bucket that is offered what is free in this round: in turn those with
-// urgent tasks, or else those with any. Offered to all at once, the same room would be
-// filled by each.
+// nextBucket returns the bucket that the rack's free resources are offered to in this round,
+// or "" when no task waits. Buckets with urgent or long-running tasks take turns; without
+// any, those with waiting tasks do. If all were offered the same resources at once, each
+// would use them.
 func (r *heldRack) nextBucket(buckets int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, wants := range []map[string]int{r.urgentTasks, r.waitingTasks} {
+	for _, counts := range []map[string]int{r.urgentTasks, r.waitingTasks} {
 		for i := range buckets {
-			turn := (r.lastOffered + 1 + i) % buckets
-			if name := BucketName(turn); wants[name] > 0 {
-				r.lastOffered = turn
+			n := (r.lastOffered + 1 + i) % buckets
+			if name := BucketName(n); counts[name] > 0 {
+				r.lastOffered = n
 				return name
 			}
 		}
@@ -216,33 +225,35 @@
 	return ""
 }
 
-func (h *Holder) syncWith(ctx context.Context, racks []*heldRack, id string, names, offered []string) {
+// syncWith sends the racks' reports to the holder of the named buckets and applies its replies.
+// offeredBuckets has for each rack the bucket that gets its offer.
+func (h *Holder) syncWith(ctx context.Context, racks []*heldRack, id string, bucketNames, offeredBuckets []string) {
 	in := SyncArgs{map[string][]jobs.RackReport{}}
 	for i, r := range racks {
 		r.mu.Lock()
-		for _, name := range names {
-			in.Reports[name] = append(in.Reports[name], r.core.BuildReport(name, name == offered[i]))
+		for _, name := range bucketNames {
+			in.Reports[name] = append(in.Reports[name], r.core.BuildReport(name, name == offeredBuckets[i]))
 		}
 		r.mu.Unlock()
 	}
-	rep, ok := h.exchangeReports(ctx, id, in)
+	reply, ok := h.exchangeReports(ctx, id, in)
 	if !ok {
 		return
 	}
 	for i, r := range racks {
 		r.update(func(now time.Time) {
-			for name, answers := range rep.Answers {
-				if i < len(answers) {
-					r.core.HandleAnswer(now, name, answers[i])
-					r.waitingTasks[name], r.urgentTasks[name] = answers[i].Waiting, answers[i].Urgent
+			for name, replies := range reply.Answers {
+				if i < len(replies) {
+					r.core.HandleAnswer(now, name, replies[i])
+					r.waitingTasks[name], r.urgentTasks[name] = replies[i].Waiting, replies[i].Urgent
 				}
 			}
 		})
 	}
 }
 
-// exchangeReports sends reports to a bucket holder. An answer that takes longer than the
-// timeout isn't used: its giver may have lost the bucket since.
+// exchangeReports sends reports to a process that holds buckets and returns its reply. A reply
+// that takes longer than CallTimeout isn't used: its sender may have lost the buckets since.
 func (h *Holder) exchangeReports(ctx context.Context, id string, in SyncArgs) (SyncReply, bool) {
 	if id == h.opts.Group.Self().ID {
 		return h.HandleReports(in), true
@@ -251,23 +262,23 @@
 	if !ok {
 		return SyncReply{}, false
 	}
-	cctx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, h.opts.CallTimeout)
 	defer cancel()
-	rep, err := link.Call[SyncArgs, SyncReply](cctx, h.opts.Links.Get(m.Addr), "Peer.Sync", in)
-	return rep, err == nil
+	reply, err := link.Call[SyncArgs, SyncReply](callCtx, h.opts.Links.Get(m.Addr), "Peer.Sync", in)
+	return reply, err == nil
 }
 
-// HandleReports answers a rack's reports for the buckets that are held here.
+// HandleReports returns the replies to racks' reports for the buckets that this process holds.
 func (h *Holder) HandleReports(in SyncArgs) SyncReply {
-	out := SyncReply{map[string][]jobs.RackReply{}}
+	reply := SyncReply{map[string][]jobs.RackReply{}}
 	for name, reports := range in.Reports {
 		b := h.getBucket(name)
 		if b == nil {
 			continue
 		}
 		for _, rep := range reports {
-			out.Answers[name] = append(out.Answers[name], b.handleReport(rep))
+			reply.Answers[name] = append(reply.Answers[name], b.handleReport(rep))
 		}
 	}
-	return out
+	return reply
 }
