--- a/internal/proc/tool/admin.go
+++ b/internal/proc/tool/admin.go
@@ -34,7 +34,7 @@
 	return append(more,
 		&cli.StringFlag{Name: "admin", Value: "127.0.0.1:8082", Usage: "administration `ADDRESS` of any entry process"},
 		&cli.StringFlag{Name: "token", Sources: cli.EnvVars(tokenEnv), Usage: "administration token"},
-		&cli.StringFlag{Name: "output", Value: "table", Usage: "output format, table or json"},
+		&cli.StringFlag{Name: "output", Value: "table", Usage: "table or json"},
 	)
 }
 
@@ -134,7 +134,7 @@
 func sheetCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "sheet",
-		Usage: "read or replace the sheet",
+		Usage: "read or replace the day's sheet",
 		Commands: []*cli.Command{
 			{
 				Name: "show", Usage: "print the sheet in force", Flags: adminFlags(),
@@ -151,8 +151,8 @@
 			},
 			{
 				Name: "put", Usage: "put a sheet in force", ArgsUsage: "FILE",
-				Description: "The sheet's base is the version of the configuration from which it was written.\nExample: bramleysail sheet put examples/association.sheet.toml",
-				Flags:       adminFlags(&cli.BoolFlag{Name: "confirm", Usage: "allow the sheet to remove half or more of what is declared"}),
+				Description: "The sheet's base is the number of the configuration that it was drawn from.\nExample: bramleysail sheet put examples/association.sheet.toml",
+				Flags:       adminFlags(&cli.BoolFlag{Name: "confirm", Usage: "the sheet is meant to drop half or more of what is declared"}),
 				Action: func(ctx context.Context, c *cli.Command) error {
 					text, err := readSheet(c)
 					if err != nil {
@@ -222,14 +222,14 @@
 		}
 	}
 	return &cli.Command{
-		Name: "domain", Usage: "evacuate a failure domain or bring it back into use",
-		Commands: []*cli.Command{subcommand("out", "evacuate a failure domain, so that nothing new starts there"), subcommand("back", "bring a failure domain back into use")},
+		Name: "domain", Usage: "take a failure domain out of service or bring it back",
+		Commands: []*cli.Command{subcommand("out", "nothing starts there any more"), subcommand("back", "it may be used again")},
 	}
 }
 
 func statusCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show the state of an entry process", Flags: adminFlags(),
+		Name: "status", Usage: "show what an entry process knows", Flags: adminFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			v, err := callAdmin[node.Status](ctx, c, http.MethodGet, "/v1/status", nil)
 			if err != nil {
--- a/internal/proc/tool/cli.go
+++ b/internal/proc/tool/cli.go
@@ -88,7 +88,7 @@
 		Name:        "serve",
 		Usage:       "run one entry process until SIGTERM or SIGINT",
 		Description: "Example: bramleysail serve --settings examples/association.toml",
-		Flags:       []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "settings `FILE` in TOML; without it the default settings are used"}},
+		Flags:       []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "settings `FILE` in TOML; defaults without"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s := conf.Default()
 			if f := c.String("settings"); f != "" {
@@ -105,9 +105,9 @@
 func demoCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "demo",
-		Usage:       "run services and batch jobs on embedded stand-ins, inject faults and check the guarantees",
-		Description: "It takes less than a minute, needs only the loopback interface, and exits with 5 if a guarantee was violated.",
-		Flags:       []cli.Flag{&cli.BoolFlag{Name: "hosts", Usage: "run the demo in which one of the entry hosts is the holder, as on the users' platform"}},
+		Usage:       "run the main job on embedded stand-ins, bring about faults and check the promises",
+		Description: "It takes under a minute, needs nothing but loopback, and exits with 5 if a promise was broken.",
+		Flags:       []cli.Flag{&cli.BoolFlag{Name: "hosts", Usage: "the demo of entry hosts of which one holds, as on the users' platform"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			run := demo.Run
 			if c.Bool("hosts") {
@@ -146,12 +146,12 @@
 func checkCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "check",
-		Usage:       "check a settings file or, with --sheet, a sheet, and list every error",
+		Usage:       "check a settings file or, with --sheet, a sheet; every fault is listed",
 		ArgsUsage:   "FILE",
 		Description: "Examples: bramleysail check examples/association.toml\n          bramleysail check --sheet examples/association.sheet.toml",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "sheet", Usage: "the file is a sheet"},
-			&cli.BoolFlag{Name: "host", Usage: "the file contains the settings of a host on the users' platform"},
+			&cli.BoolFlag{Name: "host", Usage: "the file is the settings of a host on the users' platform"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			name, err := singleArgument(c, "FILE")
--- a/internal/proc/tool/explain.go
+++ b/internal/proc/tool/explain.go
@@ -15,10 +15,10 @@
 func explainCommand(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "explain",
-		Usage:       "show the history of a job from the hosts' logs: where it runs, why it waited and what was decided",
+		Usage:       "tell from the hosts' logs what became of a job: where it is, why it waited, what was decided",
 		ArgsUsage:   "JOB [LOGFILE ...]",
-		Description: "Reads standard input if no file is given. Example: bramleysail explain 5c0e7a21d94b36f8 host-*.log",
-		Flags:       []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print JSON"}},
+		Description: "Reads standard input without a file. Example: bramleysail explain 5c0e7a21d94b36f8 host-*.log",
+		Flags:       []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "for programs"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 1 {
 				return exitError{errors.Errorf("bramleysail: %s takes a job's id, see --help", c.Name), ExitInvalid}
--- a/internal/proc/tool/job.go
+++ b/internal/proc/tool/job.go
@@ -45,8 +45,8 @@
 		Name: "job", Usage: "submit, show or cancel a job",
 		Commands: []*cli.Command{
 			submitCommand(out),
-			byID("show", "show a job as it is stored", http.MethodGet, ""),
-			byID("cancel", "cancel a job; its finished tasks stay finished", http.MethodPost, "/cancel"),
+			byID("show", "show a job as the store holds it", http.MethodGet, ""),
+			byID("cancel", "end a job; what has finished before stays finished", http.MethodPost, "/cancel"),
 		},
 	}
 }
@@ -61,11 +61,11 @@
 			&cli.StringFlag{Name: "team"},
 			&cli.StringFlag{Name: "rank", Usage: "urgent, normal or low"},
 			&cli.IntFlag{Name: "n", Value: 1, Usage: "number of equal tasks"},
-			&cli.IntFlag{Name: "cpu", Value: 1000, Usage: "CPU of a task in millicores"},
-			&cli.IntFlag{Name: "mem", Value: 1024, Usage: "memory of a task in MiB"},
-			&cli.IntFlag{Name: "accel", Usage: "number of accelerators of a task"},
+			&cli.IntFlag{Name: "cpu", Value: 1000, Usage: "millicores of a task"},
+			&cli.IntFlag{Name: "mem", Value: 1024, Usage: "MiB of a task"},
+			&cli.IntFlag{Name: "accel", Usage: "accelerators of a task"},
 			&cli.DurationFlag{Name: "run", Value: time.Second, Usage: "declared run time of a task"},
-			&cli.BoolFlag{Name: "standing", Usage: "the tasks never finish and are restarted before those of other jobs"},
+			&cli.BoolFlag{Name: "standing", Usage: "the tasks never finish and are restarted first"},
 		),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			id, err := singleArgument(c, "ID")
--- a/internal/proc/tool/model.go
+++ b/internal/proc/tool/model.go
@@ -16,15 +16,15 @@
 func modelCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "model",
-		Usage:       "simulate scenarios of workers and their load, in virtual time, under several policies",
+		Usage:       "play days of a model of the workers and their load, in virtual time, with several policies",
 		Description: "Example: bramleysail model --day wildheart --load 0.85 --load 1.2 --seeds 8",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "day", Usage: "scenario: association, wildheart or backlog, a long one with more work than the workers have capacity for", Value: "association"},
-			&cli.FloatSliceFlag{Name: "load", Usage: "factor of the measured arrival rates; may be given several times", Value: []float64{1}},
-			&cli.IntFlag{Name: "seeds", Usage: "number of simulations for each load and policy", Value: 4},
+			&cli.StringFlag{Name: "day", Usage: "association, wildheart or backlog, a long one with more work than there is room for", Value: "association"},
+			&cli.FloatSliceFlag{Name: "load", Usage: "arrivals against those measured; may be given several times", Value: []float64{1}},
+			&cli.IntFlag{Name: "seeds", Usage: "days to play for each load and policy", Value: 4},
 			&cli.StringSliceFlag{Name: "policy", Usage: "product, first or ideal; may be given several times", Value: []string{trial.PolicyFirstFit, trial.PolicyProduct, trial.PolicyIdeal}},
-			&cli.StringSliceFlag{Name: "fault", Usage: "slow, hang, fail or leave (faults of workers) or burst (of arrivals), drawn from the seed; may be given several times"},
-			&cli.StringFlag{Name: "plot", Usage: "also plot the value share against the load into `FILE`, as SVG; needs at least two loads"},
+			&cli.StringSliceFlag{Name: "fault", Usage: "slow, hang, fail or leave, of workers, or burst, of arrivals, drawn from the seed; may be given several times"},
+			&cli.StringFlag{Name: "plot", Usage: "also draw worth against load into `FILE`, as SVG; needs two loads or more"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			rows, err := trial.Run(trial.Config{
--- a/internal/proc/tool/report.go
+++ b/internal/proc/tool/report.go
@@ -15,14 +15,14 @@
 func reportCommand(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:        "report",
-		Usage:       "show from the hosts' logs how all jobs spent their time: refused, waiting and for what, running, restarted",
+		Usage:       "tell from the hosts' logs where the time of all jobs went: refused, waiting and for what, at work, begun again",
 		ArgsUsage:   "[LOGFILE ...]",
-		Description: "Reads standard input if no file is given. Example: bramleysail report --from 10s --to 40s --plot time.svg host-*.log",
+		Description: "Reads standard input without a file. Example: bramleysail report --from 10s --to 40s --plot time.svg host-*.log",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "from", Usage: "leave out jobs first seen before this time after the first line"},
-			&cli.DurationFlag{Name: "to", Usage: "leave out jobs first seen after this time after the first line; 0: no limit"},
-			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
-			&cli.StringFlag{Name: "plot", Usage: "also plot the number of jobs in each phase over time into `FILE`, as SVG"},
+			&cli.DurationFlag{Name: "from", Usage: "leave out jobs first seen before this, counted from the first line"},
+			&cli.DurationFlag{Name: "to", Usage: "leave out jobs first seen after this; 0: none"},
+			&cli.BoolFlag{Name: "json", Usage: "for programs"},
+			&cli.StringFlag{Name: "plot", Usage: "also draw into `FILE`, as SVG, how many jobs are in each phase over time"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			lines, err := readLogs(c.Args().Slice(), errOut)
