--- a/internal/route/pool/action.go
+++ b/internal/route/pool/action.go
@@ -2,91 +2,93 @@
 
 import "time"
 
-// Key names a permit among all processes.
+// Key identifies a permit among all processes.
 type Key struct {
-	Owner string // the process that gave it
-	No    uint64
+	Owner string // process that issued the permit
+	No    uint64 // number of the permit among those that the process issued
 }
 
-// Permit is the right to have one request in flight at a target until a time.
+// Permit is the right to have one request in flight at a target until it expires.
 type Permit struct {
 	Key    Key
-	Target string
-	Until  time.Time
+	Target string    // address of the target
+	Until  time.Time // when the permit expires
 }
 
-// Reason says why a call got no slot.
+// Reason is why a call was refused a slot.
 type Reason string
 
-// The reasons of a refusal; in each the request has not been sent anywhere.
+// The reasons for a refusal. The request of a refused call has not been sent to any target.
 const (
-	ReasonOverloaded Reason = "overloaded" // it would wait longer than it can
-	ReasonNoTarget   Reason = "no-target"  // no target is usable
-	ReasonDeadline   Reason = "deadline"   // its deadline passed before a slot was free
+	ReasonOverloaded Reason = "overloaded" // the call would wait longer than MaxWait or its deadline allow
+	ReasonNoTarget   Reason = "no-target"  // this process owns no target and knows no peer
+	ReasonDeadline   Reason = "deadline"   // the call's deadline passed before a slot was free
 )
 
-// Outcome says how a request at a target ended.
+// Outcome is how a request to a target ended.
 type Outcome string
 
-// The outcomes of a request at a target.
+// The outcomes of a request to a target.
 const (
-	OutcomeOK      Outcome = "ok"
-	OutcomeFailed  Outcome = "failed"  // an error, or an answer that can't be used
-	OutcomeLost    Outcome = "lost"    // no answer; it may still be running there
-	OutcomeRefused Outcome = "refused" // the target said that it didn't run it
-	OutcomeNotSent Outcome = "never"   // it wasn't sent
+	OutcomeOK      Outcome = "ok"      // a valid response
+	OutcomeFailed  Outcome = "failed"  // an error, or an unusable response
+	OutcomeLost    Outcome = "lost"    // no response; the request may still run at the target
+	OutcomeRefused Outcome = "refused" // the target reported that it didn't run the request
+	OutcomeNotSent Outcome = "never"   // the request wasn't sent
 )
 
-// Result is a request's outcome and how long the target took.
+// Result is the outcome of a request, with its latency and what the target reported of itself.
 type Result struct {
 	Outcome Outcome
-	Took    time.Duration
-	Load    int  // requests at the target by its own word, or -1
-	Leaving bool // by the target's own word
+	Took    time.Duration // from sending the request to its response
+	Load    int           // number of requests that the target reported to have, or -1
+	Leaving bool          // whether the target reported that it is leaving
 }
 
-// OutstandingPermit is a permit that is out, as it is passed on with its target.
+// OutstandingPermit is a permit that was issued and not returned yet, as the former owner
+// of its target reports it to the next owner.
 type OutstandingPermit struct {
 	Key  Key
-	By   string // the process that uses it
-	Left time.Duration
+	By   string        // process that uses the permit
+	Left time.Duration // time until the permit expires
 }
 
-// Action is something that the adapter has to do.
+// Action is a decision of a Core that its caller has to execute: a Send, Refuse, Borrow, Lend
+// or Return.
 type Action interface{ action() }
 
-// Send asks to send the call's request to the permit's target.
+// Send is the action to send the call's request to the permit's target.
 type Send struct {
 	Call   Call
 	Permit Permit
 }
 
-// Refuse asks to answer the call at once; After is when it is worth coming back.
+// Refuse is the action to reject the call at once.
 type Refuse struct {
 	Call       Call
 	Reason     Reason
-	RetryAfter time.Duration
+	RetryAfter time.Duration // after which the caller should try again
 }
 
-// Borrow asks a peer for N slots.
+// Borrow is the action to ask a peer for slots.
 type Borrow struct {
 	Peer        string
-	Slots       int
-	LongestWait time.Duration // how long the oldest call has waited
+	Slots       int           // number of slots to ask for
+	LongestWait time.Duration // how long the oldest call here has waited
 }
 
-// Lend offers a peer permits that it asked for earlier.
+// Lend is the action to grant a peer permits that it asked for earlier.
 type Lend struct {
 	Peer    string
 	Permits []Permit
 }
 
-// Return tells a peer that a permit is done with.
+// Return is the action to tell a peer that a permit is no longer in use.
 type Return struct {
-	Peer   string
+	Peer   string // owner of the target, to the knowledge of this process
 	Key    Key
 	Target string
-	Result Result
+	Result Result // of the last request sent with the permit
 }
 
 func (Send) action()   {}
--- a/internal/route/pool/bench_test.go
+++ b/internal/route/pool/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkCall measures one call from arrival to its end at a core that owns so many targets.
+// BenchmarkCall measures one call from its arrival to its result, by the number of targets that the core owns.
 func BenchmarkCall(b *testing.B) {
 	for _, targets := range []int{6, 60, 600} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/internal/route/pool/core.go
+++ b/internal/route/pool/core.go
@@ -5,64 +5,66 @@
 	"time"
 )
 
-// Options says how a Core decides; Self is needed.
+// Options configures a Core. Self is required.
 type Options struct {
-	Self           string
-	MaxRequestTime time.Duration // longest that a request runs at a target; a permit lives several times that
-	MaxWait        time.Duration // longest that a request waits for a slot
-	Seed           uint64
-	MaxPerBorrower int // permits of one target that one peer has at once; 0 means no limit
+	Self           string        // id of the process that the core decides for
+	MaxRequestTime time.Duration // longest time that a request runs at a target; a permit lives several times as long
+	MaxWait        time.Duration // longest time that a call waits for a slot
+	Seed           uint64        // of the random numbers
+	MaxPerBorrower int           // number of permits of one target that one peer may have at once; 0 means no limit
 }
 
 const (
 	defaultMaxRequestTime = 10 * time.Second
 	defaultMaxWait        = 500 * time.Millisecond
-	rateWindow            = 100 * time.Millisecond // over which the drain rate is measured
-	rateWeight            = 0.3
-	borrowRetryInterval   = 5 * time.Millisecond // how long an unmet ask is left with one peer
-	minRetryAfter         = 50 * time.Millisecond
-	permitLifeFactor      = 3                    // a permit's life, as a multiple of a request's, so that it serves several
-	peerWaitMargin        = 2 * time.Millisecond // how much longer a peer's call must have waited to go before an own one
+	rateWindow            = 100 * time.Millisecond // window over which the drain rate is measured
+	rateWeight            = 0.3                    // weight of the latest window in the measured drain rate
+	borrowRetryInterval   = 5 * time.Millisecond   // between two Borrow actions to peers without known free slots
+	minRetryAfter         = 50 * time.Millisecond  // least RetryAfter of a refusal, before its random part
+	permitLifeFactor      = 3                      // lifetime of a permit in multiples of MaxRequestTime, so that it serves several calls
+	peerWaitMargin        = 2 * time.Millisecond   // how much longer a peer's call must have waited than a local one to be served first
 )
 
-// Core is the decision core of one service at one process; it isn't safe for concurrent use.
+// Core decides on the slots of one service in one process. It isn't safe for concurrent use.
 type Core struct {
 	opts            Options
 	rand            *rand.Rand
-	targets         map[string]*target
-	sortedTargets   []*target
-	forwards        map[Key]forward // permits of targets that went to another owner
-	peers           map[string]*peer
-	queue           queue
-	pendingSlots    int // slots asked for and not yet answered
-	lastBlindBorrow time.Time
-	lastPermit      uint64
-	ownershipValid  bool
-	suspended       bool
-	slowLimit       time.Duration
-
-	avgLatency   time.Duration // moving average over all requests sent from here
-	measuredRate float64       // calls a second that leave the queue
-	sentInWindow int
-	windowStart  time.Time
-	saturated    bool
-	actions      []Action
-}
-
+	targets         map[string]*target // owned targets by address
+	sortedTargets   []*target          // owned targets in order of address
+	forwards        map[Key]forward    // outstanding permits of targets that have another owner now
+	peers           map[string]*peer   // by process id
+	queue           queue              // calls that wait for a slot
+	pendingSlots    int                // slots asked of peers that haven't answered yet
+	lastBlindBorrow time.Time          // when slots were last asked of a peer without known free slots
+	lastPermit      uint64             // number of the permit issued last
+	ownershipValid  bool               // whether the owned targets may be used and lent
+	suspended       bool               // whether this process must send nothing
+	slowLimit       time.Duration      // average latency above which a target counts as slow
+
+	avgLatency   time.Duration // moving average over the successful requests sent from here
+	measuredRate float64       // calls a second that leave the queue or are sent at once, as a moving average
+	sentInWindow int           // calls sent since windowStart
+	windowStart  time.Time     // start of the current rate window
+	saturated    bool          // whether calls waited at the end of the last rate window
+	actions      []Action      // decided in the current event
+}
+
+// forward says where to forward the return of an outstanding permit.
 type forward struct {
-	owner   string
-	expires time.Time
+	owner   string    // process that took over the permit's target
+	expires time.Time // when the permit expires
 }
 
+// peer is what this process knows of another entry process.
 type peer struct {
-	sameZone      bool
-	freeSlots     int
-	wantedSlots   int
-	hasWaiting    bool      // calls wait there
-	oldestArrival time.Time // when its oldest waiting call came, by this process's clock
+	sameZone      bool      // whether it is in this process's failure domain
+	freeSlots     int       // last reported free slots, less those asked of it since
+	wantedSlots   int       // slots that it has asked for and not received
+	hasWaiting    bool      // whether calls wait there, by its last heartbeat
+	oldestArrival time.Time // arrival of its longest waiting call, by this process's clock
 }
 
-// New returns a core that owns nothing yet.
+// New returns a core that owns no target.
 func New(o Options) *Core {
 	if o.MaxRequestTime <= 0 {
 		o.MaxRequestTime = defaultMaxRequestTime
@@ -80,11 +82,11 @@
 	}
 }
 
-// takeActions returns the actions since the last event.
+// takeActions returns the actions of the current event and clears them.
 func (c *Core) takeActions() []Action {
-	out := c.actions
+	actions := c.actions
 	c.actions = nil
-	return out
+	return actions
 }
 
 func (c *Core) emit(a Action) {
@@ -94,32 +96,31 @@
 // Self returns the id of the process that the core decides for.
 func (c *Core) Self() string { return c.opts.Self }
 
-// PermitLifetime returns how long a permit lives.
+// PermitLifetime returns the time from issuing a permit until it expires.
 func (c *Core) PermitLifetime() time.Duration { return permitLifeFactor * c.opts.MaxRequestTime }
 
-// SetLimits changes the longest run, the longest wait and the permits of one target
-// that one peer has at once.
-func (c *Core) SetLimits(life, wait time.Duration, most int) {
-	c.opts.MaxRequestTime, c.opts.MaxWait, c.opts.MaxPerBorrower = life, wait, most
+// SetLimits changes MaxRequestTime, MaxWait and MaxPerBorrower of the Options.
+func (c *Core) SetLimits(maxRequestTime, maxWait time.Duration, maxPerBorrower int) {
+	c.opts.MaxRequestTime, c.opts.MaxWait, c.opts.MaxPerBorrower = maxRequestTime, maxWait, maxPerBorrower
 }
 
-// SetOwnershipValid tells whether this process may still use and lend what it owns.
-func (c *Core) SetOwnershipValid(now time.Time, lawful bool) []Action {
-	c.ownershipValid = lawful
+// SetOwnershipValid sets whether this process may use and lend the slots of its targets.
+func (c *Core) SetOwnershipValid(now time.Time, valid bool) []Action {
+	c.ownershipValid = valid
 	c.serveWaiting(now)
 	return c.takeActions()
 }
 
-// SetSuspended tells whether this process has to stand still: it sends nothing then, not even
-// to slots of its peers.
-func (c *Core) SetSuspended(now time.Time, still bool) []Action {
-	c.suspended = still
+// SetSuspended sets whether this process is suspended: it then sends no requests, not even
+// with slots borrowed from its peers, and borrows none.
+func (c *Core) SetSuspended(now time.Time, suspended bool) []Action {
+	c.suspended = suspended
 	c.serveWaiting(now)
 	c.borrowSlots(now)
 	return c.takeActions()
 }
 
-// HandleCall takes in a call: it is sent, queued or refused at once.
+// HandleCall handles the arrival of a call, which is sent, queued or refused at once.
 func (c *Core) HandleCall(now time.Time, call Call) []Action {
 	if c.queue.size == 0 {
 		if t := c.freeOwnedTarget(now, call.AvoidTarget); t != nil {
@@ -133,6 +134,7 @@
 	return c.takeActions()
 }
 
+// freeOwnedTarget returns an owned target with a free slot for a local call, or nil.
 func (c *Core) freeOwnedTarget(now time.Time, avoid string) *target {
 	if !c.ownershipValid || c.suspended {
 		return nil
@@ -140,9 +142,10 @@
 	return c.pickTarget(now, avoid, c.opts.Self)
 }
 
-// admit queues the call if it can be served in time. When it can't, but its team
-// has less than its share of the queue or it is more urgent, the call served last
-// makes room; it is refused at once, not at its deadline.
+// admit queues the call if it can be served in time, and otherwise refuses it at once
+// instead of at its deadline. Only the calls ahead of it count, so a call that is more urgent
+// or whose team has less than its share of the queue is admitted to a full queue, and the
+// call that would be served last is refused in its place.
 func (c *Core) admit(now time.Time, call Call) {
 	if len(c.sortedTargets) == 0 && len(c.peers) == 0 {
 		c.refuse(now, call, ReasonNoTarget)
@@ -156,14 +159,16 @@
 	c.shedCalls(now)
 }
 
-// canServeInTime reports whether the call can be served in time, with some to spare: the drain
-// rate wavers, and a call that just canServeInTime now is often refused after it has waited.
+// canServeInTime reports whether the call can be served in time even if it waits three times
+// as long as estimated. The drain rate fluctuates, so without this margin a call is often
+// admitted and refused after it has waited.
 func (c *Core) canServeInTime(now time.Time, call Call) bool {
 	wait := c.drainTime(c.queue.countAhead(call.Priority, call.Team))
 	return now.Add(wait + 2*wait).Before(c.latestStart(call))
 }
 
-// latestStart returns when the call has to leave the queue to be answered in time.
+// latestStart returns when the call has to leave the queue at the latest: for an average
+// request to end by the call's deadline, and for the call to wait no longer than MaxWait.
 func (c *Core) latestStart(call Call) time.Time {
 	byDeadline := call.Deadline.Add(-c.avgLatency)
 	byWait := call.Arrived.Add(c.opts.MaxWait)
@@ -173,7 +178,7 @@
 	return byWait
 }
 
-// drainTime returns how long a queue of n takes to drain.
+// drainTime returns the estimated time until n queued calls have been sent.
 func (c *Core) drainTime(n int) time.Duration {
 	rate := c.drainRate()
 	if rate <= 0 {
@@ -182,8 +187,9 @@
 	return time.Duration(float64(n) / rate * float64(time.Second))
 }
 
-// drainRate returns the rate at which calls leave the queue. What is measured below
-// saturation is only what arrived, so there the owned slots' own rate counts too.
+// drainRate returns how many calls a second can leave the queue. Below saturation the
+// measured rate only shows how many calls arrived, so the rate that the owned slots
+// can serve is used if it is higher.
 func (c *Core) drainRate() float64 {
 	if c.saturated || c.avgLatency <= 0 {
 		return c.measuredRate
@@ -195,7 +201,7 @@
 	return max(c.measuredRate, float64(slots)/c.avgLatency.Seconds())
 }
 
-// shedCalls refuses the calls served last while the queue is longer than its calls can wait.
+// shedCalls refuses the calls that would be served last until the queue drains within MaxWait.
 func (c *Core) shedCalls(now time.Time) {
 	for c.queue.size > 0 && c.drainTime(c.queue.size-1) > c.opts.MaxWait {
 		call, _ := c.queue.popLast()
@@ -203,61 +209,63 @@
 	}
 }
 
-// refuseLate refuses the calls that can't be answered in time any more.
+// refuseLate refuses the queued calls that can no longer be answered in time.
 func (c *Core) refuseLate(now time.Time) {
 	for _, call := range c.queue.removeMatching(func(call Call) bool { return !now.Before(c.latestStart(call)) }) {
 		c.refuse(now, call, ReasonOverloaded)
 	}
 }
 
-func (c *Core) refuse(now time.Time, call Call, why Reason) {
-	after := c.drainTime(c.queue.size)
-	after = max(after, minRetryAfter)
-	after += time.Duration(c.rand.Float64() * float64(after))
+// refuse refuses the call, with a random part in RetryAfter to spread the retries.
+func (c *Core) refuse(now time.Time, call Call, reason Reason) {
+	retryAfter := c.drainTime(c.queue.size)
+	retryAfter = max(retryAfter, minRetryAfter)
+	retryAfter += time.Duration(c.rand.Float64() * float64(retryAfter))
 	if !now.Before(call.Deadline) {
-		why = ReasonDeadline
+		reason = ReasonDeadline
 	}
-	c.emit(Refuse{call, why, after})
+	c.emit(Refuse{call, reason, retryAfter})
 }
 
-// CancelCall takes out a waiting call whose caller has gone.
+// CancelCall removes a waiting call whose caller has gone.
 func (c *Core) CancelCall(id uint64) {
 	c.queue.remove(id)
 }
 
-// issuePermit makes a permit for one of the target's slots.
-func (c *Core) issuePermit(now time.Time, t *target, by string) Permit {
+// issuePermit issues a permit for one of the target's slots to the process user.
+func (c *Core) issuePermit(now time.Time, t *target, user string) Permit {
 	c.lastPermit++
 	p := Permit{Key{c.opts.Self, c.lastPermit}, t.addr, now.Add(permitLifeFactor * c.opts.MaxRequestTime)}
-	t.permits[p.Key] = issued{by, p.Until}
+	t.permits[p.Key] = issued{user, p.Until}
 	return p
 }
 
+// sendCall sends the call with the permit and counts it for the drain rate.
 func (c *Core) sendCall(call Call, p Permit) {
 	c.sentInWindow++
 	c.emit(Send{call, p})
 }
 
-// serveWaiting gives free slots to those who have waited longest, here or at peers.
+// serveWaiting gives free slots to the calls that have waited longest, here or at peers.
 func (c *Core) serveWaiting(now time.Time) {
 	if !c.ownershipValid || c.suspended {
 		return
 	}
 	for {
-		call, mine := c.queue.peek()
-		id, theirs := c.longestWaitingPeer()
-		if !mine && theirs == nil {
+		call, hasLocal := c.queue.peek()
+		id, waitingPeer := c.longestWaitingPeer()
+		if !hasLocal && waitingPeer == nil {
 			return
 		}
-		by := c.opts.Self
-		if !mine || theirs != nil && theirs.oldestArrival.Add(peerWaitMargin).Before(call.Arrived) {
-			by = id
+		user := c.opts.Self
+		if !hasLocal || waitingPeer != nil && waitingPeer.oldestArrival.Add(peerWaitMargin).Before(call.Arrived) {
+			user = id
 		}
-		t := c.pickTarget(now, call.AvoidTarget, by)
+		t := c.pickTarget(now, call.AvoidTarget, user)
 		if t == nil {
 			return
 		}
-		if by == c.opts.Self {
+		if user == c.opts.Self {
 			c.queue.pop()
 			if c.refuseIfExpired(now, call) {
 				continue
@@ -265,12 +273,13 @@
 			c.sendCall(call, c.issuePermit(now, t, c.opts.Self))
 			continue
 		}
-		theirs.wantedSlots--
+		waitingPeer.wantedSlots--
 		c.emit(Lend{id, []Permit{c.issuePermit(now, t, id)}})
 	}
 }
 
-// refuseIfExpired refuses a call whose deadline has passed while it waited.
+// refuseIfExpired refuses a call whose deadline has passed while it waited, and reports
+// whether it did.
 func (c *Core) refuseIfExpired(now time.Time, call Call) bool {
 	if now.Before(call.Deadline) {
 		return false
@@ -279,7 +288,8 @@
 	return true
 }
 
-// longestWaitingPeer returns the peer whose call has waited longestWaitingPeer among those that asked.
+// longestWaitingPeer returns the peer with the longest waiting call among the peers that
+// want slots, or nil.
 func (c *Core) longestWaitingPeer() (string, *peer) {
 	var id string
 	var best *peer
@@ -294,7 +304,7 @@
 	return id, best
 }
 
-// HandleResult takes in the result of a request that was sent from here.
+// HandleResult handles the result of a request that was sent from here with the permit.
 func (c *Core) HandleResult(now time.Time, p Permit, r Result) []Action {
 	if r.Outcome == OutcomeOK {
 		c.updateLatency(r.Took)
@@ -308,11 +318,10 @@
 	return c.takeActions()
 }
 
-// reusePermit spends a borrowed permit that has just served a call on the next one, when
-// no call at its owner has waited longer. Sent back instead, the slot would lie idle
-// for the way there and the way of the next permit here: at 95 % of the slots and
-// 20 ms a request that is the difference between a queue that drains and one that
-// doesn't.
+// reusePermit uses a borrowed permit that has just served a call for the next one, unless
+// a call at the permit's owner has waited longer. It reports whether it did. If the permit
+// were returned instead, its slot would be idle for the time of the return and of the next
+// grant: with 95 % of the slots in use and 20 ms a request the queue would not drain.
 func (c *Core) reusePermit(now time.Time, p Permit) bool {
 	call, ok := c.queue.peek()
 	if !ok || c.suspended || p.Key.Owner == c.opts.Self || call.AvoidTarget == p.Target || now.Add(c.opts.MaxRequestTime).After(p.Until) {
@@ -329,6 +338,7 @@
 	return true
 }
 
+// updateLatency adds the latency of a request to the moving average over all targets.
 func (c *Core) updateLatency(took time.Duration) {
 	if c.avgLatency == 0 {
 		c.avgLatency = took
@@ -337,15 +347,15 @@
 	c.avgLatency += time.Duration(latencyWeight * float64(took-c.avgLatency))
 }
 
-// releasePermit ends a permit wherever it belongs: here, or with the process that owns the target by now.
+// releasePermit ends a permit of an owned target, or returns a borrowed permit to its owner.
 func (c *Core) releasePermit(now time.Time, k Key, addr string, r Result) {
 	if !c.endPermit(now, k, addr, r) && k.Owner != c.opts.Self {
 		c.emit(Return{k.Owner, k, addr, r})
 	}
 }
 
-// endPermit ends a permit of an owned target, or passes its end on to the process that
-// took the target over; it reports whether it knew the permit.
+// endPermit ends a permit of an owned target, or forwards its return to the process that
+// took the target over. It reports whether the permit was known.
 func (c *Core) endPermit(now time.Time, k Key, addr string, r Result) bool {
 	if f, ok := c.forwards[k]; ok {
 		delete(c.forwards, k)
@@ -364,14 +374,16 @@
 	return true
 }
 
-// HandleReturn takes in a peer's word that a permit given here, or passed on to here, is done with.
+// HandleReturn handles a peer's report that a permit of a target that is or was owned here
+// is no longer in use.
 func (c *Core) HandleReturn(now time.Time, k Key, addr string, r Result) []Action {
 	c.endPermit(now, k, addr, r)
 	c.serveWaiting(now)
 	return c.takeActions()
 }
 
-// Tick does what is due by time alone; it's called every few milliseconds.
+// Tick does the work that depends on the time alone, such as expiry. It has to be called
+// every few milliseconds while calls wait.
 func (c *Core) Tick(now time.Time) []Action {
 	c.updateDrainRate(now)
 	for _, t := range c.sortedTargets {
@@ -389,11 +401,11 @@
 	return c.takeActions()
 }
 
-// expirePermits ends the permits and ghosts whose time is over. By then their request has
-// ended at its sender; a sender that died or was cut off never says so.
+// expirePermits ends the target's expired permits and orphans. By then the sender of the
+// request has given it up; a sender that died or was cut off never returns its permit.
 func (c *Core) expirePermits(now time.Time, t *target) {
-	for k, h := range t.permits {
-		if now.After(h.expires) {
+	for k, p := range t.permits {
+		if now.After(p.expires) {
 			delete(t.permits, k)
 		}
 	}
@@ -402,7 +414,7 @@
 	}
 }
 
-// updateDrainRate updates the drain rate.
+// updateDrainRate updates the measured drain rate and the slow limit at the end of each rate window.
 func (c *Core) updateDrainRate(now time.Time) {
 	if c.windowStart.IsZero() {
 		c.windowStart = now
@@ -419,14 +431,14 @@
 	c.updateSlowLimit()
 }
 
-// OwnedTarget is what a process tells of a target that it owns.
+// OwnedTarget is the state of a target that this process owns.
 type OwnedTarget struct {
 	Addr    string
 	Slots   int
-	Out     int
-	Ghosts  int
-	Leaving bool // by the host list, an operator or its own word
-	Ejected bool
+	Out     int  // number of outstanding permits
+	Ghosts  int  // number of orphans: requests that may still run there though no process tracks them
+	Leaving bool // by the host list, an operator or the target's own report
+	Ejected bool // whether it gets no requests after failures
 }
 
 // Targets returns the owned targets in order of address.
@@ -438,7 +450,7 @@
 	return rows
 }
 
-// QueueLen returns how many calls wait here.
+// QueueLen returns the number of calls that wait for a slot in this process.
 func (c *Core) QueueLen() int {
 	return c.queue.size
 }
--- a/internal/route/pool/lending.go
+++ b/internal/route/pool/lending.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// AddTarget takes over a target. Out are the permits that its previous owner passed on;
-// ghosts are requests that may be running there though nobody can name them, until
-// they end or a permit's life has passed.
-func (c *Core) AddTarget(now time.Time, addr string, slots int, out []OutstandingPermit, ghosts int) []Action {
+// AddTarget makes this process the owner of a target, or changes the slots of a target that
+// it owns. The permits are those outstanding under the former owner. The orphans are requests
+// that may run at the target though no process tracks them; they occupy slots until the target
+// reports a lower load or MaxRequestTime has passed.
+func (c *Core) AddTarget(now time.Time, addr string, slots int, permits []OutstandingPermit, orphans int) []Action {
 	if t := c.targets[addr]; t != nil {
 		t.slots = slots
 		c.serveWaiting(now)
 		return c.takeActions()
 	}
 	t := &target{addr: addr, slots: slots, permits: map[Key]issued{}}
-	if ghosts > 0 {
-		t.addOrphans(now, min(ghosts, slots), c.opts.MaxRequestTime)
+	if orphans > 0 {
+		t.addOrphans(now, min(orphans, slots), c.opts.MaxRequestTime)
 	}
-	for _, h := range out {
-		t.permits[h.Key] = issued{h.By, now.Add(h.Left)}
-		// A permit may come back to the process that gave it first.
-		delete(c.forwards, h.Key)
+	for _, p := range permits {
+		t.permits[p.Key] = issued{p.By, now.Add(p.Left)}
+		// The permit may be one that this process issued before it gave the target up.
+		delete(c.forwards, p.Key)
 	}
 	c.targets[addr] = t
 	c.sortTargets()
@@ -30,27 +31,28 @@
 	return c.takeActions()
 }
 
-// RemoveTarget gives a target up to the process to and returns the permits that are out,
-// with the number of untracked requests.
-func (c *Core) RemoveTarget(now time.Time, addr, to string) ([]OutstandingPermit, int) {
+// RemoveTarget ends the ownership of a target, and returns its outstanding permits and the
+// number of its orphans. Permits that come back later are forwarded to newOwner, if it is set.
+func (c *Core) RemoveTarget(now time.Time, addr, newOwner string) ([]OutstandingPermit, int) {
 	t := c.targets[addr]
 	if t == nil {
 		return nil, 0
 	}
-	var out []OutstandingPermit
-	for k, h := range t.permits {
-		out = append(out, OutstandingPermit{k, h.user, h.expires.Sub(now)})
-		if to != "" {
-			c.forwards[k] = forward{to, h.expires}
+	var permits []OutstandingPermit
+	for k, p := range t.permits {
+		permits = append(permits, OutstandingPermit{k, p.user, p.expires.Sub(now)})
+		if newOwner != "" {
+			c.forwards[k] = forward{newOwner, p.expires}
 		}
 	}
-	slices.SortFunc(out, func(a, b OutstandingPermit) int { return cmp.Compare(a.Key.No, b.Key.No) })
+	slices.SortFunc(permits, func(a, b OutstandingPermit) int { return cmp.Compare(a.Key.No, b.Key.No) })
 	delete(c.targets, addr)
 	c.sortTargets()
-	return out, t.orphans
+	return permits, t.orphans
 }
 
-// SetLeaving says that an owned target is leaving and gets nothing new, or stays after all.
+// SetLeaving sets whether an owned target is leaving by the host list or an operator. A target
+// that is leaving gets no new requests.
 func (c *Core) SetLeaving(now time.Time, addr string, leaving bool) []Action {
 	if t := c.targets[addr]; t != nil {
 		t.leaving = leaving
@@ -59,8 +61,9 @@
 	return c.takeActions()
 }
 
-// HandleProbe takes in the answer to a probe of an owned target: whether it is healthy,
-// how many requests it has by its own word, or -1, and whether it says it is leaving.
+// HandleProbe handles the response to a probe of an owned target: whether the target is
+// healthy, the number of requests that it reports to have, or -1, and whether it reports
+// that it is leaving.
 func (c *Core) HandleProbe(now time.Time, addr string, healthy bool, load int, leaving bool) []Action {
 	t := c.targets[addr]
 	if t == nil {
@@ -75,27 +78,29 @@
 	return c.takeActions()
 }
 
-// HandleBorrow answers a peer that wants n slots with those that are free; the rest of its
-// wish is remembered and met as slots become free.
-func (c *Core) HandleBorrow(now time.Time, id string, n int, wait time.Duration) ([]Permit, []Action) {
+// HandleBorrow handles a peer's request for slots, whose oldest call has waited for longestWait.
+// It returns permits for the slots that are free. The core lends the peer the remaining slots as
+// they become free.
+func (c *Core) HandleBorrow(now time.Time, id string, slots int, longestWait time.Duration) ([]Permit, []Action) {
 	p := c.ensurePeer(id)
-	p.oldestArrival = now.Add(-wait)
-	var got []Permit
-	for len(got) < n && c.ownershipValid && c.queue.size == 0 {
+	p.oldestArrival = now.Add(-longestWait)
+	var permits []Permit
+	for len(permits) < slots && c.ownershipValid && c.queue.size == 0 {
 		t := c.pickTarget(now, "", id)
 		if t == nil {
 			break
 		}
-		got = append(got, c.issuePermit(now, t, id))
+		permits = append(permits, c.issuePermit(now, t, id))
 	}
-	p.wantedSlots = n - len(got)
-	return got, c.takeActions()
+	p.wantedSlots = slots - len(permits)
+	return permits, c.takeActions()
 }
 
-// HandleGrant takes in a peer's answer to an Ask for n slots, or with n = 0 its later offer.
-func (c *Core) HandleGrant(now time.Time, id string, n int, permits []Permit, free int) []Action {
-	c.pendingSlots = max(0, c.pendingSlots-n)
-	c.ensurePeer(id).freeSlots = free
+// HandleGrant handles the permits that a peer granted in answer to a Borrow for the number of
+// slots, or with slots = 0 the permits that it lent later. The peer has freeSlots left.
+func (c *Core) HandleGrant(now time.Time, id string, slots int, permits []Permit, freeSlots int) []Action {
+	c.pendingSlots = max(0, c.pendingSlots-slots)
+	c.ensurePeer(id).freeSlots = freeSlots
 	for _, p := range permits {
 		c.usePermit(now, p)
 	}
@@ -103,7 +108,7 @@
 	return c.takeActions()
 }
 
-// usePermit spends a borrowed permit on the first waiting call, or gives it back.
+// usePermit uses a borrowed permit for the next waiting call, or returns it.
 func (c *Core) usePermit(now time.Time, p Permit) {
 	for !c.suspended && now.Before(p.Until) {
 		call, ok := c.queue.pop()
@@ -119,32 +124,34 @@
 	c.emit(Return{p.Key.Owner, p.Key, p.Target, Result{Outcome: OutcomeNotSent, Load: -1}})
 }
 
-// HandleBorrowFailure takes in that a peer didn't answer an Ask for n slots.
-func (c *Core) HandleBorrowFailure(now time.Time, id string, n int) []Action {
-	return c.HandleGrant(now, id, n, nil, 0)
+// HandleBorrowFailure handles that a peer didn't answer a Borrow for the number of slots.
+func (c *Core) HandleBorrowFailure(now time.Time, id string, slots int) []Action {
+	return c.HandleGrant(now, id, slots, nil, 0)
 }
 
-// HandleHeartbeat takes in what a peer tells of itself.
-func (c *Core) HandleHeartbeat(now time.Time, id string, free, want int, wait time.Duration) []Action {
+// HandleHeartbeat handles the load that a peer reports: its free slots, its number of waiting
+// calls and the wait of the oldest one.
+func (c *Core) HandleHeartbeat(now time.Time, id string, freeSlots, waiting int, longestWait time.Duration) []Action {
 	p := c.ensurePeer(id)
-	p.freeSlots = free
-	p.wantedSlots = min(p.wantedSlots, want)
-	p.hasWaiting = want > 0
-	p.oldestArrival = now.Add(-wait)
+	p.freeSlots = freeSlots
+	p.wantedSlots = min(p.wantedSlots, waiting)
+	p.hasWaiting = waiting > 0
+	p.oldestArrival = now.Add(-longestWait)
 	c.borrowSlots(now)
 	return c.takeActions()
 }
 
-// AddPeer adds a peer; near says that it is in the same failure domain.
-func (c *Core) AddPeer(id string, near bool) {
-	c.ensurePeer(id).sameZone = near
+// AddPeer adds a peer, or updates whether it is in the same failure domain.
+func (c *Core) AddPeer(id string, sameZone bool) {
+	c.ensurePeer(id).sameZone = sameZone
 }
 
-// RemovePeer forgets a peer that left; the permits that it holds run out by themselves.
+// RemovePeer removes a peer that left. The permits that it uses end when they expire.
 func (c *Core) RemovePeer(id string) {
 	delete(c.peers, id)
 }
 
+// ensurePeer returns the peer with the id, which it adds if it is unknown.
 func (c *Core) ensurePeer(id string) *peer {
 	p := c.peers[id]
 	if p == nil {
@@ -154,24 +161,25 @@
 	return p
 }
 
-// Load returns what heartbeats tell the peers: own free slots, waiting calls and the
-// longest wait among them.
-func (c *Core) Load(now time.Time) (free, want int, wait time.Duration) {
+// Load returns what the heartbeats report to the peers: the free slots of this process, its
+// number of waiting calls and the wait of the oldest one. No slot counts as free while calls wait.
+func (c *Core) Load(now time.Time) (freeSlots, waiting int, longestWait time.Duration) {
 	if c.ownershipValid && c.queue.size == 0 {
 		for _, t := range c.sortedTargets {
-			free += t.freeSlots(now)
+			freeSlots += t.freeSlots(now)
 		}
 	}
-	if at := c.queue.oldestArrival(); !at.IsZero() {
-		wait = now.Sub(at)
+	if oldest := c.queue.oldestArrival(); !oldest.IsZero() {
+		longestWait = now.Sub(oldest)
 	}
-	return free, c.queue.size, wait
+	return freeSlots, c.queue.size, longestWait
 }
 
-// borrowSlots asks peers for the slots that waiting calls lack. Peers are drawn with
-// chances by the free slots they last told of, those in the same failure domain
-// first, so that processes which are full at the same time don't all ask the same one. When none is known to have any, one
-// drawn at random is left with the wish.
+// borrowSlots asks peers for the slots that the waiting calls lack. It draws each peer at
+// random, weighted by the free slots that the peer last reported, and first from the same
+// failure domain. The random choice keeps processes that are full at the same time from all
+// asking the same peer. If no peer is known to have free slots, it asks one drawn uniformly,
+// at most once in a borrowRetryInterval; that peer lends slots as they become free.
 func (c *Core) borrowSlots(now time.Time) {
 	for !c.suspended && c.queue.size > c.pendingSlots {
 		id, p := c.drawLender()
@@ -193,29 +201,32 @@
 	}
 }
 
-// maxBorrow is how many slots one message asks for.
+// maxBorrow is the greatest number of slots that one Borrow asks for.
 const maxBorrow = 4
 
+// drawLender draws a peer with free slots, weighted by their number, or returns nil if none is
+// known to have any.
 func (c *Core) drawLender() (string, *peer) {
-	for _, near := range []bool{true, false} {
+	for _, sameZone := range []bool{true, false} {
 		total := 0
 		for _, p := range c.peers {
-			if p.sameZone == near {
+			if p.sameZone == sameZone {
 				total += max(p.freeSlots, 0)
 			}
 		}
 		if total > 0 {
-			return c.lenderOfSlot(near, c.rand.IntN(total))
+			return c.lenderOfSlot(sameZone, c.rand.IntN(total))
 		}
 	}
 	return "", nil
 }
 
-// lenderOfSlot returns the peer to whom the n-th free slot belongs.
-func (c *Core) lenderOfSlot(near bool, n int) (string, *peer) {
+// lenderOfSlot returns the peer that has the n-th of the free slots in the same failure domain,
+// or in the others.
+func (c *Core) lenderOfSlot(sameZone bool, n int) (string, *peer) {
 	for _, id := range c.peerIDs() {
 		p := c.peers[id]
-		if p.sameZone != near {
+		if p.sameZone != sameZone {
 			continue
 		}
 		if n -= max(p.freeSlots, 0); n < 0 {
@@ -225,6 +236,7 @@
 	return "", nil
 }
 
+// anyPeer returns the id of a peer drawn uniformly, or "" if there is none.
 func (c *Core) anyPeer() string {
 	ids := c.peerIDs()
 	if len(ids) == 0 {
@@ -233,7 +245,8 @@
 	return ids[c.rand.IntN(len(ids))]
 }
 
-// peerIDs returns the peers in order, so that the same events lead to the same draws.
+// peerIDs returns the ids of the peers in order, so that the same events with the same seed
+// lead to the same draws.
 func (c *Core) peerIDs() []string {
 	ids := make([]string, 0, len(c.peers))
 	for id := range c.peers {
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed so that every run gives the same verdict.
+// The seed is fixed so that every run gives the same result.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.shrinktime", "5s")
-	_ = flag.Set("rapid.checks", "30") // each is a minute of a busy deployment
+	_ = flag.Set("rapid.checks", "30") // each simulates a minute of a busy deployment
 }
 
-// Entry processes die or stand still for a while, targets change hands under load and some
-// requests hang at their target after their sender has given up. What a user would see of a fault: a target
-// that gets more than its slots refuses or slows what it has; a slot that nobody gives
-// back is capacity lost for good; a call that ends twice or never is an answer lost.
+// Entry processes die or are suspended for a while, targets change owners under load and some
+// requests hang at their target after their sender has given them up. A target that gets more
+// requests than it has slots refuses or slows down requests; a slot that is never freed is
+// capacity lost for good; a call that ends twice or never is a lost response.
 func TestSlotAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const cores, targets, slots = 4, 8, 3
@@ -39,18 +39,18 @@
 			id := fmt.Sprintf("e%d", rapid.IntRange(1, cores-1).Draw(t, "dead"))
 			w.AfterFunc(at, func() { w.killCore(id) })
 		}
-		for range rapid.IntRange(0, 3).Draw(t, "stills") {
-			at := time.Duration(rapid.IntRange(0, 5000).Draw(t, "still at")) * time.Millisecond
-			span := time.Duration(rapid.IntRange(1, 1000).Draw(t, "still for")) * time.Millisecond
-			id := fmt.Sprintf("e%d", rapid.IntRange(0, cores-1).Draw(t, "still"))
+		for range rapid.IntRange(0, 3).Draw(t, "suspensions") {
+			at := time.Duration(rapid.IntRange(0, 5000).Draw(t, "suspended at")) * time.Millisecond
+			span := time.Duration(rapid.IntRange(1, 1000).Draw(t, "suspended for")) * time.Millisecond
+			id := fmt.Sprintf("e%d", rapid.IntRange(0, cores-1).Draw(t, "suspended"))
 			w.AfterFunc(at, func() { w.suspend(id, span) })
 		}
 		w.RunUntil(begin.Add(time.Minute))
 		if w.sentWhileSuspended > 0 {
-			t.Fatalf("%d requests were sent by a process that had to stand still", w.sentWhileSuspended)
+			t.Fatalf("%d requests were sent by a suspended process", w.sentWhileSuspended)
 		}
 		if w.overSlots > 0 {
-			t.Fatalf("%d requests reached a target whose slots were all busy", w.overSlots)
+			t.Fatalf("%d requests reached a target whose slots were all in use", w.overSlots)
 		}
 		if w.lateRefusals > 0 {
 			t.Fatalf("%d refusals came after the deadline", w.lateRefusals)
@@ -64,7 +64,7 @@
 	})
 }
 
-// checkIdle holds that after the load nothing waits and every slot is free again.
+// checkIdle fails the test if a call waits or a slot is in use after the load has ended.
 func (w *simulation) checkIdle(t *rapid.T) {
 	for id, c := range w.cores {
 		if w.dead[id] {
@@ -75,16 +75,14 @@
 		}
 		for _, o := range c.Targets(w.Now()) {
 			if o.Out+o.Ghosts > 0 {
-				t.Fatalf("%s: %+v isn't free after the load", id, o)
+				t.Fatalf("%s: slots in use after the load: %+v", id, o)
 			}
 		}
 	}
 }
 
-// Twice as many requests come as can be answered, from one team that floods and one
-// that asks for less than its share. Callers must be refused at once or answered, the
-// rate of answers must stay what it was at capacity, and the small team must not be
-// crowded out by the flood.
+// Twice as many calls arrive as can be served. Each must be served or refused at once, and as
+// many must be served as at full capacity.
 func TestOverload(t *testing.T) {
 	const cores, targets, slots = 3, 6, 8
 	const span = 20 * time.Second
@@ -98,20 +96,19 @@
 	_, best := answered(0.98)
 	w, n := answered(2)
 	if float64(n) < 0.9*float64(best) {
-		t.Errorf("at twice the capacity %d are answered, at 98 %% %d", n, best)
+		t.Errorf("at twice the capacity %d calls are served, at 98 %% of it %d", n, best)
 	}
 	if w.lateRefusals > 0 || w.refusals == 0 {
-		t.Errorf("%d of %d refusals came after the deadline", w.lateRefusals, w.refusals)
+		t.Errorf("%d of %d refusals came after the deadline; want none late and at least one", w.lateRefusals, w.refusals)
 	}
 	if 100*w.immediateRefusals < 95*w.refusals {
 		t.Errorf("only %d of %d refusals were given on arrival", w.immediateRefusals, w.refusals)
 	}
-	t.Logf("answered at 0.98 and 2 of capacity: %d and %d; refused %d", best, n, w.refusals)
+	t.Logf("calls served at 0.98 and 2 times the capacity: %d and %d; refused %d", best, n, w.refusals)
 }
 
-// A team floods the queue; another team's few calls come after. They must be served in
-// turn with the flood's, not behind all of it, and when the queue is full the flood's
-// newest make room.
+// A team floods the queue and another team's few calls arrive after it. They must be served in
+// turn with the calls of the flood, not behind all of them, and urgent calls first.
 func TestFairShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0", MaxWait: time.Second})
@@ -137,13 +134,13 @@
 		}
 	}
 	if fmt.Sprint(order) != "[101 2 100 3 4]" {
-		t.Errorf("served in the order %v", order)
+		t.Errorf("calls served in the order %v", order)
 	}
 }
 
-// A target fails everything at once, so it always has a free slot and would draw every
-// request. It must be ejected, tried again after a while by a probe and one request,
-// and half of the targets must stay in use whatever fails.
+// A target fails all its requests at once, so it always has free slots and would attract every
+// request. It must be ejected and later tried again with a probe and a single request, and half
+// of the targets must stay in use whatever fails.
 func TestEjection(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
@@ -161,27 +158,28 @@
 	for id := uint64(1); id <= 40; id++ {
 		s, ok := send(id)
 		if !ok {
-			t.Fatalf("call %d found no target though half must stay in use", id)
+			t.Fatalf("call %d found no target, though half of the targets must stay in use", id)
 		}
-		out := OutcomeOK
+		outcome := OutcomeOK
 		if s.Permit.Target == "t00" || id > 20 {
-			out = OutcomeFailed
+			outcome = OutcomeFailed
 		}
-		c.HandleResult(now, s.Permit, Result{Outcome: out, Took: time.Millisecond, Load: -1})
+		c.HandleResult(now, s.Permit, Result{Outcome: outcome, Took: time.Millisecond, Load: -1})
 	}
 	if got := c.Targets(now); !got[0].Ejected || got[1].Ejected {
-		t.Fatalf("t00 fails always, t01 after it: %+v", got)
+		t.Fatalf("t00 always fails and t01 fails later; want only t00 ejected: %+v", got)
 	}
 	now = now.Add(minEjection + time.Millisecond)
 	c.HandleProbe(now, "t00", true, 0, false)
 	a, _ := send(50)
 	b, _ := send(51)
 	if a.Permit.Target == b.Permit.Target && a.Permit.Target == "t00" {
-		t.Error("two requests at once try the target that comes back")
+		t.Error("two requests at once are sent to a target whose ejection has just ended")
 	}
 }
 
-// The owner of a target is away for longer than its lease while it believes otherwise.
+// The lease of a target's owner has expired, so its ownership is no longer valid. It must neither
+// send to the target nor lend its slots.
 func TestOwnershipInvalid(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
@@ -189,18 +187,18 @@
 	c.SetOwnershipValid(now, false)
 	for _, a := range c.HandleCall(now, Call{ID: 1, Arrived: now, Deadline: now.Add(time.Minute)}) {
 		if _, ok := a.(Send); ok {
-			t.Error("a process that has lost its lease sends to what it owned")
+			t.Error("a process whose lease has expired sends to a target that it owned")
 		}
 	}
 	if got, _ := c.HandleBorrow(now, "e1", 1, 0); len(got) > 0 {
-		t.Error("it lends what it owned")
+		t.Error("a process whose lease has expired lends slots of a target that it owned")
 	}
 }
 
-// A process may send nothing for a moment, as it can't tell whether the store is away or
-// itself cut off, while its peers go on. It must neither spend slots of theirs nor ask for
-// them: each would cost a connection and a slot, and its calls would be sent on and on. They
-// go out when it may send again.
+// A process is suspended, as it can't tell whether the store is unreachable or the process
+// itself is isolated, while its peers go on. It must neither use nor borrow slots of theirs: each
+// would cost a connection and a slot, and its calls would be sent again and again. The calls are
+// sent when the suspension ends.
 func TestSuspended(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
@@ -213,31 +211,31 @@
 	call(1)
 	first := c.HandleGrant(now, "e1", 1, []Permit{lent(1)}, 4)
 	if s, ok := first[0].(Send); !ok || s.Call.ID != 1 {
-		t.Fatalf("before: %+v", first)
+		t.Fatalf("before the suspension: %+v", first)
 	}
 	c.SetSuspended(now, true)
-	for what, actions := range map[string][]Action{
-		"a call":               call(2),
-		"a late answer":        c.HandleGrant(now, "e1", 0, []Permit{lent(2)}, 4),
-		"the end of a request": c.HandleResult(now, lent(1), Result{Outcome: OutcomeOK, Load: -1}),
-		"a heartbeat":          c.HandleHeartbeat(now, "e1", 4, 0, 0),
-		"a tick":               c.Tick(now),
+	for event, actions := range map[string][]Action{
+		"a call":                  call(2),
+		"a late grant":            c.HandleGrant(now, "e1", 0, []Permit{lent(2)}, 4),
+		"the result of a request": c.HandleResult(now, lent(1), Result{Outcome: OutcomeOK, Load: -1}),
+		"a heartbeat":             c.HandleHeartbeat(now, "e1", 4, 0, 0),
+		"a tick":                  c.Tick(now),
 	} {
 		for _, a := range actions {
 			if _, ok := a.(Return); !ok {
-				t.Errorf("%s: %+v", what, a)
+				t.Errorf("after %s: unexpected action %+v", event, a)
 			}
 		}
 	}
 	if c.QueueLen() != 1 {
-		t.Errorf("%d calls wait", c.QueueLen())
+		t.Errorf("%d calls wait, want 1", c.QueueLen())
 	}
-	asked := c.SetSuspended(now, false)
-	if len(asked) != 1 {
-		t.Fatalf("after: %+v", asked)
+	resumed := c.SetSuspended(now, false)
+	if len(resumed) != 1 {
+		t.Fatalf("when the suspension ends: %+v", resumed)
 	}
 	got := c.HandleGrant(now, "e1", 1, []Permit{lent(3)}, 4)
 	if s, ok := got[0].(Send); !ok || s.Call.ID != 2 {
-		t.Errorf("after: %+v", got)
+		t.Errorf("after the suspension: %+v", got)
 	}
 }
--- a/internal/route/pool/queue.go
+++ b/internal/route/pool/queue.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Priority is a request's priority.
+// Priority is the priority of a call.
 type Priority string
 
-// The priorities; the zero value counts as normal.
+// The priorities. Any other value counts as normal.
 const (
 	PriorityUrgent Priority = "urgent"
 	PriorityNormal Priority = "normal"
 	PriorityLow    Priority = "low"
 )
 
+// level returns the index of the priority's level in a queue; the most urgent is 0.
 func (p Priority) level() int {
 	switch p {
 	case PriorityUrgent:
@@ -26,37 +27,42 @@
 	return 1
 }
 
+// numLevels is the number of priority levels of a queue.
 const numLevels = 3
 
-// Call is one request that wants a slot.
+// Call is a caller's request that needs a slot.
 type Call struct {
-	ID          uint64
-	Team        string
+	ID          uint64 // unique in this process
+	Team        string // team that the caller belongs to
 	Priority    Priority
-	Arrived     time.Time // when it reached this process
-	Deadline    time.Time // when its caller stops waiting
-	AvoidTarget string    // target of an earlier try, not used again while another is free
+	Arrived     time.Time // when the call reached this process
+	Deadline    time.Time // when the caller stops waiting
+	AvoidTarget string    // target of an earlier attempt, used again only if no other has a free slot
 }
 
-// queue holds calls by priority, within it in fair turns among teams, within a
-// team in order of arrival. Fairness is by start-time fair queueing: a team's
-// virtual time grows by one for each of its calls that is taken.
+// queue holds the calls that wait for a slot. Calls are served by priority, within a
+// priority in fair turns among teams, and within a team in order of arrival. The turns
+// follow start-time fair queueing: the virtual time of a team grows by one with each of
+// its calls that is served, and the team with the least virtual time is next.
 type queue struct {
-	levels [numLevels]priorityLevel
-	size   int
+	levels [numLevels]priorityLevel // the most urgent first
+	size   int                      // number of calls in all levels
 }
 
+// priorityLevel holds the waiting calls of one priority.
 type priorityLevel struct {
-	teams       map[string]*teamQueue
-	virtualTime float64
+	teams       map[string]*teamQueue // teams with waiting calls, by name
+	virtualTime float64               // of the call served last
 }
 
+// teamQueue holds the waiting calls of one team at one priority.
 type teamQueue struct {
 	team        string
-	virtualTime float64
-	calls       []Call
+	virtualTime float64 // of the team's next call
+	calls       []Call  // in order of arrival, never empty
 }
 
+// push adds a call. A team without waiting calls starts at the virtual time of its level.
 func (q *queue) push(c Call) {
 	l := &q.levels[c.Priority.level()]
 	if l.teams == nil {
@@ -71,7 +77,7 @@
 	q.size++
 }
 
-// nextTeam returns the line whose turn it is, or nil.
+// nextTeam returns the team queue whose turn it is with its level, or nil.
 func (q *queue) nextTeam() (*priorityLevel, *teamQueue) {
 	for i := range q.levels {
 		l := &q.levels[i]
@@ -88,6 +94,7 @@
 	return nil, nil
 }
 
+// peek returns the call to be served next and whether there is one.
 func (q *queue) peek() (Call, bool) {
 	_, t := q.nextTeam()
 	if t == nil {
@@ -96,6 +103,7 @@
 	return t.calls[0], true
 }
 
+// pop removes the call to be served next, and returns it and whether there was one.
 func (q *queue) pop() (Call, bool) {
 	l, t := q.nextTeam()
 	if t == nil {
@@ -110,52 +118,55 @@
 	return c, true
 }
 
+// removeIfEmpty removes the team queue from the level if it has no calls.
 func (l *priorityLevel) removeIfEmpty(t *teamQueue) {
 	if len(t.calls) == 0 {
 		delete(l.teams, t.team)
 	}
 }
 
-// oldestArrival returns when the longest waiting call came; zero when there is none.
+// oldestArrival returns the arrival time of the longest waiting call, or the zero time.
 func (q *queue) oldestArrival() time.Time {
-	var at time.Time
+	var oldest time.Time
 	for i := range q.levels {
 		for _, t := range q.levels[i].teams {
-			if came := t.calls[0].Arrived; at.IsZero() || came.Before(at) {
-				at = came
+			if arrived := t.calls[0].Arrived; oldest.IsZero() || arrived.Before(oldest) {
+				oldest = arrived
 			}
 		}
 	}
-	return at
+	return oldest
 }
 
-// remove takes out the call with the id, wherever it stands.
+// remove removes the call with the id, if there is one.
 func (q *queue) remove(id uint64) {
 	q.removeMatching(func(c Call) bool { return c.ID == id })
 }
 
-// removeMatching takes out the calls for which f holds, in order of priority and team.
-func (q *queue) removeMatching(f func(Call) bool) []Call {
-	var got []Call
+// removeMatching removes the calls for which match is true, and returns them in order of
+// priority and team.
+func (q *queue) removeMatching(match func(Call) bool) []Call {
+	var removed []Call
 	for i := range q.levels {
 		l := &q.levels[i]
 		for _, team := range slices.Sorted(maps.Keys(l.teams)) {
 			t := l.teams[team]
 			t.calls = slices.DeleteFunc(t.calls, func(c Call) bool {
-				if !f(c) {
+				if !match(c) {
 					return false
 				}
-				got = append(got, c)
+				removed = append(removed, c)
 				return true
 			})
 			l.removeIfEmpty(t)
 		}
 	}
-	q.size -= len(got)
-	return got
+	q.size -= len(removed)
+	return removed
 }
 
-// countAhead counts the calls that are served before a new one of that priority and team.
+// countAhead returns how many of the waiting calls would be served before a new call of the
+// priority and team.
 func (q *queue) countAhead(p Priority, team string) int {
 	n := 0
 	for i := 0; i < p.level(); i++ {
@@ -164,38 +175,39 @@
 		}
 	}
 	l := &q.levels[p.level()]
-	mine := 0
+	ownCalls := 0
 	if t := l.teams[team]; t != nil {
-		mine = len(t.calls)
+		ownCalls = len(t.calls)
 	}
 	for _, t := range l.teams {
 		if t.team == team {
-			n += mine
+			n += ownCalls
 			continue
 		}
-		n += min(len(t.calls), mine+1)
+		n += min(len(t.calls), ownCalls+1)
 	}
 	return n
 }
 
-// popLast takes out the call that is served popLast: the newest of the longest line of the lowest priority.
+// popLast removes the call that would be served last, the newest call of the longest team
+// queue at the lowest priority, and returns it and whether there was one.
 func (q *queue) popLast() (Call, bool) {
 	for i := len(q.levels) - 1; i >= 0; i-- {
 		l := &q.levels[i]
-		var worst *teamQueue
+		var longest *teamQueue
 		for _, t := range l.teams {
-			if worst == nil || len(t.calls) > len(worst.calls) ||
-				len(t.calls) == len(worst.calls) && t.team > worst.team {
-				worst = t
+			if longest == nil || len(t.calls) > len(longest.calls) ||
+				len(t.calls) == len(longest.calls) && t.team > longest.team {
+				longest = t
 			}
 		}
-		if worst == nil {
+		if longest == nil {
 			continue
 		}
-		c := worst.calls[len(worst.calls)-1]
-		worst.calls = worst.calls[:len(worst.calls)-1]
+		c := longest.calls[len(longest.calls)-1]
+		longest.calls = longest.calls[:len(longest.calls)-1]
 		q.size--
-		l.removeIfEmpty(worst)
+		l.removeIfEmpty(longest)
 		return c, true
 	}
 	return Call{}, false
--- a/internal/route/pool/simulation_test.go
+++ b/internal/route/pool/simulation_test.go
@@ -11,33 +11,33 @@
 	"bramleysail.example/bramleysail/internal/fake/event"
 )
 
-// simulation drives several cores in virtual time: events in a heap, a fixed delay for
-// each message, targets that count what they are sent.
+// simulation runs several cores and targets in virtual time, with a fixed delay for each message.
+// Targets count the requests that they are sent.
 type simulation struct {
-	event.Queue
+	event.Queue       // scheduled events
 	rand              *rand.Rand
-	networkDelay      time.Duration
-	meanServiceTime   time.Duration
-	slots             int
-	cores             map[string]*Core
-	dead              map[string]bool
-	running           map[string]int
-	slowdown          map[string]float64
-	overSlots         int // requests that reached a target whose slots were all busy
-	endings           map[uint64]int
-	sent              map[uint64]int
-	lateRefusals      int // refusals given after the call's deadline
+	networkDelay      time.Duration      // of a message between failure domains
+	meanServiceTime   time.Duration      // of a request at a target
+	slots             int                // of each target
+	cores             map[string]*Core   // by id
+	dead              map[string]bool    // cores that were killed, by id
+	running           map[string]int     // requests running at each target, by address
+	slowdown          map[string]float64 // factor on the service time of targets, by address
+	overSlots         int                // requests that reached a target whose slots were all in use
+	endings           map[uint64]int     // how often each call has ended, by id
+	sent              map[uint64]int     // how often each call was sent, by id
+	lateRefusals      int                // refusals given after the call's deadline
 	refusals          int
-	immediateRefusals int // refusals given on arrival
-	latencies         *hdrhistogram.Histogram
-	waits             *hdrhistogram.Histogram
-	measureFrom       time.Time
-	owners            map[string]string // of each target
-	permitUses        map[Key]permitUse
-	hangShare         float64 // share of requests that a target never answers
-
-	suspended          map[string]bool
-	sentWhileSuspended int // requests sent by a core that had to stand still
+	immediateRefusals int                     // refusals given on arrival
+	latencies         *hdrhistogram.Histogram // times from the arrival of a call to its response
+	waits             *hdrhistogram.Histogram // times that calls waited for a slot
+	measureFrom       time.Time               // no times of earlier calls are recorded
+	owners            map[string]string       // owner of each target
+	permitUses        map[Key]permitUse       // permits in use by cores
+	hangShare         float64                 // share of the requests that a target never answers
+
+	suspended          map[string]bool // by id of the core
+	sentWhileSuspended int             // requests sent by a suspended core
 }
 
 // permitUse is a permit that a core uses.
@@ -61,7 +61,7 @@
 	return w.networkDelay
 }
 
-// sameZoneSpeedup is how many times shorter the way within a failure domain is.
+// sameZoneSpeedup is how many times shorter the network delay within a failure domain is.
 const sameZoneSpeedup = 10
 
 const (
@@ -70,9 +70,10 @@
 	heartbeatInterval = 50 * time.Millisecond
 )
 
-func newSimulation(seed uint64, cores, targets, slots int, mean, hop time.Duration) *simulation {
+// newSimulation returns a simulation in which the cores own the targets in turn.
+func newSimulation(seed uint64, cores, targets, slots int, meanServiceTime, networkDelay time.Duration) *simulation {
 	w := &simulation{
-		Queue: event.New(time.Unix(1000, 0)), rand: rand.New(rand.NewPCG(seed, 2)), networkDelay: hop, meanServiceTime: mean, slots: slots,
+		Queue: event.New(time.Unix(1000, 0)), rand: rand.New(rand.NewPCG(seed, 2)), networkDelay: networkDelay, meanServiceTime: meanServiceTime, slots: slots,
 		cores: map[string]*Core{}, dead: map[string]bool{}, running: map[string]int{}, slowdown: map[string]float64{},
 		endings: map[uint64]int{}, sent: map[uint64]int{}, owners: map[string]string{}, permitUses: map[Key]permitUse{}, suspended: map[string]bool{},
 		latencies: hdrhistogram.New(1, maxLatency, 3), waits: hdrhistogram.New(1, maxLatency, 3),
@@ -83,7 +84,7 @@
 		w.cores[id] = New(Options{Self: id, Seed: seed + uint64(i), MaxWait: 2 * time.Second})
 	}
 	for i := range targets {
-		// Cores and targets alternate among three zones, so the owner is near.
+		// Cores and targets alternate among three zones, so the owner is in the zone of its target.
 		id, addr := fmt.Sprintf("e%d", i%cores), fmt.Sprintf("t%02d", i)
 		w.owners[addr] = id
 		w.execute(id, w.cores[id].AddTarget(w.Now(), addr, slots, nil, 0))
@@ -102,6 +103,7 @@
 	return w
 }
 
+// tick calls the core's Tick periodically.
 func (w *simulation) tick(id string) {
 	w.AfterFunc(tickInterval, func() {
 		if !w.dead[id] {
@@ -111,23 +113,24 @@
 	})
 }
 
+// heartbeat sends the core's load to all others periodically.
 func (w *simulation) heartbeat(id string) {
 	w.AfterFunc(heartbeatInterval, func() {
 		if w.dead[id] {
 			return
 		}
-		free, want, wait := w.cores[id].Load(w.Now())
+		free, waiting, longestWait := w.cores[id].Load(w.Now())
 		for i := range len(w.cores) {
 			other := fmt.Sprintf("e%d", i)
 			if other != id {
-				w.deliver(id, other, func(c *Core) []Action { return c.HandleHeartbeat(w.Now(), id, free, want, wait) })
+				w.deliver(id, other, func(c *Core) []Action { return c.HandleHeartbeat(w.Now(), id, free, waiting, longestWait) })
 			}
 		}
 		w.heartbeat(id)
 	})
 }
 
-// deliver delivers a message deliver a core after one hop.
+// deliver delivers a message to a core after the network delay.
 func (w *simulation) deliver(from, id string, f func(*Core) []Action) {
 	w.AfterFunc(w.delay(from, id), func() {
 		if !w.dead[id] {
@@ -136,11 +139,13 @@
 	})
 }
 
+// freeSlots returns the free slots that a core reports.
 func (w *simulation) freeSlots(id string) int {
 	n, _, _ := w.cores[id].Load(w.Now())
 	return n
 }
 
+// execute executes the actions of a core.
 func (w *simulation) execute(id string, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -165,27 +170,30 @@
 	}
 }
 
+// borrow asks a peer of the core for slots and delivers the reply.
 func (w *simulation) borrow(id string, a Borrow) {
 	w.AfterFunc(w.delay(id, a.Peer), func() {
 		if w.dead[a.Peer] {
 			w.deliver(a.Peer, id, func(c *Core) []Action { return c.HandleBorrowFailure(w.Now(), a.Peer, a.Slots) })
 			return
 		}
-		got, more := w.cores[a.Peer].HandleBorrow(w.Now(), id, a.Slots, a.LongestWait)
+		permits, actions := w.cores[a.Peer].HandleBorrow(w.Now(), id, a.Slots, a.LongestWait)
 		free := w.freeSlots(a.Peer)
-		w.execute(a.Peer, more)
-		w.deliver(a.Peer, id, func(c *Core) []Action { return c.HandleGrant(w.Now(), a.Peer, a.Slots, got, free) })
+		w.execute(a.Peer, actions)
+		w.deliver(a.Peer, id, func(c *Core) []Action { return c.HandleGrant(w.Now(), a.Peer, a.Slots, permits, free) })
 	})
 }
 
+// serviceTime draws the time that a request runs at the target.
 func (w *simulation) serviceTime(addr string) time.Duration {
-	f := w.slowdown[addr]
-	if f == 0 {
-		f = 1
+	factor := w.slowdown[addr]
+	if factor == 0 {
+		factor = 1
 	}
-	return time.Duration(w.rand.ExpFloat64() * f * float64(w.meanServiceTime))
+	return time.Duration(w.rand.ExpFloat64() * factor * float64(w.meanServiceTime))
 }
 
+// send runs a core's request at its target.
 func (w *simulation) send(id string, a Send) {
 	w.sent[a.Call.ID]++
 	if w.suspended[id] {
@@ -194,7 +202,7 @@
 	if w.Now().After(w.measureFrom) {
 		_ = w.waits.RecordValue(max(1, int64(w.Now().Sub(a.Call.Arrived))))
 	}
-	begun := w.Now()
+	sentAt := w.Now()
 	addr := a.Permit.Target
 	w.permitUses[a.Permit.Key] = permitUse{id, addr, a.Permit.Until}
 	if w.rand.Float64() < w.hangShare {
@@ -208,13 +216,13 @@
 		w.running[addr]++
 		w.AfterFunc(w.serviceTime(addr), func() {
 			w.running[addr]--
-			w.AfterFunc(w.delay(addr, id), func() { w.finish(id, a, begun) })
+			w.AfterFunc(w.delay(addr, id), func() { w.finish(id, a, sentAt) })
 		})
 	})
 }
 
-// sendHanging lets a request hang at its target until the target gives it up, which is later
-// than its sender does.
+// sendHanging runs a request that hangs at its target until the target gives it up, after its
+// sender has done so.
 func (w *simulation) sendHanging(id string, a Send) {
 	addr := a.Permit.Target
 	w.AfterFunc(w.delay(id, addr), func() {
@@ -234,9 +242,11 @@
 	})
 }
 
+// hangTime is how long a hanging request runs at its target.
 const hangTime = 4 * time.Second
 
-func (w *simulation) finish(id string, a Send, begun time.Time) {
+// finish records the response to a core's request.
+func (w *simulation) finish(id string, a Send, sentAt time.Time) {
 	delete(w.permitUses, a.Permit.Key)
 	if w.dead[id] {
 		return
@@ -245,11 +255,11 @@
 	if a.Call.Arrived.After(w.measureFrom) {
 		_ = w.latencies.RecordValue(int64(w.Now().Sub(a.Call.Arrived)))
 	}
-	w.execute(id, w.cores[id].HandleResult(w.Now(), a.Permit, Result{Outcome: OutcomeOK, Took: w.Now().Sub(begun), Load: -1}))
+	w.execute(id, w.cores[id].HandleResult(w.Now(), a.Permit, Result{Outcome: OutcomeOK, Took: w.Now().Sub(sentAt), Load: -1}))
 }
 
-// generateCalls makes calls arrive at random cores at the rate until the time.
-func (w *simulation) generateCalls(rate float64, until time.Time, patience time.Duration) {
+// generateCalls makes calls arrive at random live cores, at a rate per second until the time.
+func (w *simulation) generateCalls(rate float64, until time.Time, timeout time.Duration) {
 	var next func(id uint64)
 	next = func(id uint64) {
 		w.AfterFunc(time.Duration(w.rand.ExpFloat64()/rate*float64(time.Second)), func() {
@@ -260,7 +270,7 @@
 			for w.dead[core] {
 				core = fmt.Sprintf("e%d", w.rand.IntN(len(w.cores)))
 			}
-			call := Call{ID: id, Team: "t", Arrived: w.Now(), Deadline: w.Now().Add(patience)}
+			call := Call{ID: id, Team: "t", Arrived: w.Now(), Deadline: w.Now().Add(timeout)}
 			w.execute(core, w.cores[core].HandleCall(w.Now(), call))
 			next(id + 1)
 		})
@@ -268,8 +278,8 @@
 	next(1)
 }
 
-// killCore ends a core; a lease later the others share its targets. Of what it had in
-// flight nobody knows but the target.
+// killCore ends a core. When its lease has expired the others take over its targets. Only the
+// targets know which of its requests are still running.
 func (w *simulation) killCore(id string) {
 	w.dead[id] = true
 	for i := range len(w.cores) {
@@ -293,7 +303,7 @@
 	})
 }
 
-// suspend makes a core suspend still for a time.
+// suspend suspends a core for a time.
 func (w *simulation) suspend(id string, span time.Duration) {
 	if w.dead[id] || w.suspended[id] {
 		return
@@ -311,20 +321,21 @@
 	})
 }
 
+// leaseTime is the time from the end of a core until others take over its targets.
 const leaseTime = 3 * time.Second
 
-// outstanding names the permits of a target that live cores use.
+// outstanding returns the permits of a target that live cores use.
 func (w *simulation) outstanding(addr string) []OutstandingPermit {
-	var out []OutstandingPermit
+	var permits []OutstandingPermit
 	for k, u := range w.permitUses {
 		if u.target == addr && !w.dead[u.user] {
-			out = append(out, OutstandingPermit{k, u.user, u.expires.Sub(w.Now())})
+			permits = append(permits, OutstandingPermit{k, u.user, u.expires.Sub(w.Now())})
 		}
 	}
-	return out
+	return permits
 }
 
-// probeTarget asks a target for its load now and again while its owner has untracked requests there.
+// probeTarget reports the target's load to its owner periodically while the core owns it.
 func (w *simulation) probeTarget(id, addr string) {
 	w.AfterFunc(50*time.Millisecond, func() {
 		if w.dead[id] || w.owners[addr] != id {
@@ -335,15 +346,15 @@
 	})
 }
 
-// moveTarget hands a target from its owner to another core, as at a planned change.
+// moveTarget hands a target over from its owner to another core, as at a planned change.
 func (w *simulation) moveTarget(addr, to string) {
 	from := w.owners[addr]
 	if from == to || w.dead[from] || w.dead[to] || w.cores[from].targets[addr] == nil {
-		return // a claim waits until the holder before has taken the target over itself
+		return // the next owner waits until the former owner has taken the target over itself
 	}
 	w.owners[addr] = to
-	held, ghosts := w.cores[from].RemoveTarget(w.Now(), addr, to)
-	w.deliver(from, to, func(c *Core) []Action { return c.AddTarget(w.Now(), addr, w.slots, held, ghosts) })
+	permits, orphans := w.cores[from].RemoveTarget(w.Now(), addr, to)
+	w.deliver(from, to, func(c *Core) []Action { return c.AddTarget(w.Now(), addr, w.slots, permits, orphans) })
 }
 
 // targetsOf yields the numbers of the targets that a core owns, in order.
@@ -357,17 +368,18 @@
 	}
 }
 
-// idealQueue runs one queue before all slots, which knows at once when a slot is free.
-func idealQueue(seed uint64, targets, slots int, rate float64, mean, hop, span time.Duration, slow map[string]float64) *hdrhistogram.Histogram {
-	w := newSimulation(seed, 0, 0, slots, mean, hop)
-	w.slowdown = slow
+// idealQueue returns the latencies of a single queue for all slots that learns at once when a slot is
+// free.
+func idealQueue(seed uint64, targets, slots int, rate float64, meanServiceTime, networkDelay, span time.Duration, slowdown map[string]float64) *hdrhistogram.Histogram {
+	w := newSimulation(seed, 0, 0, slots, meanServiceTime, networkDelay)
+	w.slowdown = slowdown
 	type slot struct{ target string }
 	var free []slot
 	var waiting []time.Time
 	for i := range targets * slots {
 		free = append(free, slot{fmt.Sprintf("t%02d", i%targets)})
 	}
-	var start func(came time.Time)
+	var start func(arrived time.Time)
 	start = func(came time.Time) {
 		at := w.rand.IntN(len(free))
 		s := free[at]
@@ -393,35 +405,35 @@
 	return w.latencies
 }
 
-// twoChoices sends each call to the less loaded of two random targets by reports
-// that are up to a heartbeat old; what the slots can't take queues at the target.
-func twoChoices(seed uint64, cores, targets, slots int, rate float64, mean, hop, span time.Duration, slow map[string]float64) *hdrhistogram.Histogram {
-	w := newSimulation(seed, 0, 0, slots, mean, hop)
-	w.slowdown = slow
+// twoChoices returns the latencies when each call is sent to the less loaded of two random
+// targets, by reports that are up to a heartbeat old. Requests beyond the slots queue at the target.
+func twoChoices(seed uint64, cores, targets, slots int, rate float64, meanServiceTime, networkDelay, span time.Duration, slowdown map[string]float64) *hdrhistogram.Histogram {
+	w := newSimulation(seed, 0, 0, slots, meanServiceTime, networkDelay)
+	w.slowdown = slowdown
 	load := make([]int, targets)
-	lines := make([][]time.Time, targets)
-	known := make([]int, targets)
-	mine := make([][]int, cores)
-	for i := range mine {
-		mine[i] = make([]int, targets)
+	queues := make([][]time.Time, targets)
+	reported := make([]int, targets)
+	sentSince := make([][]int, cores)
+	for i := range sentSince {
+		sentSince[i] = make([]int, targets)
 	}
 	var report func()
 	report = func() {
-		copy(known, load)
-		for i := range mine {
-			clear(mine[i])
+		copy(reported, load)
+		for i := range sentSince {
+			clear(sentSince[i])
 		}
 		w.AfterFunc(heartbeatInterval, report)
 	}
 	report()
-	var start func(t int, came time.Time)
+	var start func(t int, arrived time.Time)
 	start = func(t int, came time.Time) {
 		w.AfterFunc(w.serviceTime(fmt.Sprintf("t%02d", t)), func() {
 			_ = w.latencies.RecordValue(int64(w.Now().Sub(came) + w.delay("e0", fmt.Sprintf("t%02d", t))))
 			load[t]--
-			if len(lines[t]) > 0 {
-				next := lines[t][0]
-				lines[t] = lines[t][1:]
+			if len(queues[t]) > 0 {
+				next := queues[t][0]
+				queues[t] = queues[t][1:]
 				start(t, next)
 			}
 		})
@@ -429,14 +441,14 @@
 	w.generateArrivals(rate, span, func() {
 		core, came := w.rand.IntN(cores), w.Now()
 		a, b := w.rand.IntN(targets), w.rand.IntN(targets)
-		if known[b]+mine[core][b] < known[a]+mine[core][a] {
+		if reported[b]+sentSince[core][b] < reported[a]+sentSince[core][a] {
 			a = b
 		}
-		mine[core][a]++
+		sentSince[core][a]++
 		w.AfterFunc(w.delay("e0", fmt.Sprintf("t%02d", a)), func() {
 			load[a]++
 			if load[a] > slots {
-				lines[a] = append(lines[a], came)
+				queues[a] = append(queues[a], came)
 				return
 			}
 			start(a, came)
@@ -445,13 +457,15 @@
 	return w.latencies
 }
 
-func (w *simulation) generateArrivals(rate float64, span time.Duration, do func()) {
+// generateArrivals calls arrive for each arrival, at a rate per second for the span, and runs the
+// simulation.
+func (w *simulation) generateArrivals(rate float64, span time.Duration, arrive func()) {
 	end := w.Now().Add(span)
 	var next func()
 	next = func() {
 		w.AfterFunc(time.Duration(w.rand.ExpFloat64()/rate*float64(time.Second)), func() {
 			if w.Now().Before(end) {
-				do()
+				arrive()
 				next()
 			}
 		})
@@ -460,20 +474,20 @@
 	w.RunUntil(end.Add(time.Second))
 }
 
-// BenchmarkTail measures answer times against one ideal queue and two random choices
-// in virtual time; the ratios don't depend on the machine.
+// BenchmarkTail measures latencies in virtual time, also in relation to one ideal queue and to
+// two random choices. The results don't depend on the machine.
 func BenchmarkTail(b *testing.B) {
 	const (
 		cores, targets, slots = 9, 50, 8
 		span                  = 60 * time.Second
 	)
 	for _, tc := range []struct {
-		name string
-		mean time.Duration
-		hop  time.Duration
-		load float64
-		slow bool
-		kill bool
+		name     string
+		mean     time.Duration
+		hop      time.Duration
+		load     float64
+		slowdown bool
+		kill     bool
 	}{
 		{"association/plain/50", 100 * time.Millisecond, 500 * time.Microsecond, 0.50, false, false},
 		{"association/plain/80", 100 * time.Millisecond, 500 * time.Microsecond, 0.80, false, false},
@@ -494,7 +508,7 @@
 			for range b.N {
 				rate := tc.load * targets * slots / tc.mean.Seconds()
 				slow := map[string]float64{}
-				if tc.slow {
+				if tc.slowdown {
 					for i := 0; i < targets; i += 10 {
 						slow[fmt.Sprintf("t%02d", i)] = 5
 					}
@@ -506,13 +520,13 @@
 					w.AfterFunc(span/2, func() { w.killCore("e4") })
 				}
 				w.RunUntil(w.Now().Add(span + time.Second))
-				q := idealQueue(1, targets, slots, rate, tc.mean, tc.hop, span, slow)
-				p := twoChoices(1, cores, targets, slots, rate, tc.mean, tc.hop, span, slow)
+				ideal := idealQueue(1, targets, slots, rate, tc.mean, tc.hop, span, slow)
+				random := twoChoices(1, cores, targets, slots, rate, tc.mean, tc.hop, span, slow)
 				for _, at := range []float64{50, 99, 99.9} {
 					own := float64(w.latencies.ValueAtPercentile(at))
 					b.ReportMetric(own/1e6, fmt.Sprintf("p%v-ms", at))
-					b.ReportMetric(own/float64(q.ValueAtPercentile(at)), fmt.Sprintf("p%v/ideal", at))
-					b.ReportMetric(own/float64(p.ValueAtPercentile(at)), fmt.Sprintf("p%v/two", at))
+					b.ReportMetric(own/float64(ideal.ValueAtPercentile(at)), fmt.Sprintf("p%v/ideal", at))
+					b.ReportMetric(own/float64(random.ValueAtPercentile(at)), fmt.Sprintf("p%v/two", at))
 				}
 				b.ReportMetric(float64(w.refusals), "refused")
 				b.ReportMetric(float64(w.overSlots), "over")
--- a/internal/route/pool/target.go
+++ b/internal/route/pool/target.go
@@ -9,33 +9,34 @@
 // target is a target whose slots this process owns.
 type target struct {
 	addr                string
-	slots               int
-	permits             map[Key]issued
-	orphans             int       // slots that requests nobody tracks may still occupy
-	orphansUntil        time.Time // when the ghosts are gone for certain
-	leaving             bool      // by the host list or an operator
-	reportedLeaving     bool      // by its own word it is leaving
-	consecutiveFailures int
-	ejectedUntil        time.Time // no request before then; zero when not ejected
-	backoff             time.Duration
-	halfOpen            bool // one request at a time until one succeeds
-	avgLatency          time.Duration
+	slots               int            // how many requests it runs at once
+	permits             map[Key]issued // outstanding permits
+	orphans             int            // slots that requests which no process tracks may still occupy
+	orphansUntil        time.Time      // when all orphans have ended for certain
+	leaving             bool           // whether it is leaving by the host list or an operator
+	reportedLeaving     bool           // whether it is leaving by its own last report
+	consecutiveFailures int            // failures since the last success or ejection
+	ejectedUntil        time.Time      // it gets no request before then; zero if it was never ejected
+	backoff             time.Duration  // length of the last ejection; zero after a success
+	halfOpen            bool           // whether it gets only one request at a time until one succeeds
+	avgLatency          time.Duration  // moving average over successful requests; zero before the first
 }
 
+// issued is an outstanding permit of a target.
 type issued struct {
-	user    string
-	expires time.Time
+	user    string    // process that uses the permit
+	expires time.Time // when the permit expires
 }
 
 const (
-	ejectAfterFailures = 5                // failures in a row that eject a target
-	minEjection        = time.Second      // how long the first ejection lasts
-	maxEjection        = 30 * time.Second // how long the longest lasts
-	slowFactor         = 2.5              // a target this much slower than the median is used last
-	latencyWeight      = 0.1              // of a new measurement in the moving average
+	ejectAfterFailures = 5                // number of failures in a row that eject a target
+	minEjection        = time.Second      // length of the first ejection; each further one is twice as long
+	maxEjection        = 30 * time.Second // length of the longest ejection
+	slowFactor         = 2.5              // a target slower than the median by this factor is used last
+	latencyWeight      = 0.1              // weight of a new measurement in a moving average of latency
 )
 
-// freeSlots returns how many more requests the target takes now.
+// freeSlots returns how many more requests the target can get now.
 func (t *target) freeSlots(now time.Time) int {
 	if t.leaving || t.reportedLeaving || now.Before(t.ejectedUntil) {
 		return 0
@@ -47,8 +48,9 @@
 	return max(n, 0)
 }
 
-// recordResult takes in the result of a request at the target.
-func (t *target) recordResult(now time.Time, r Result, life time.Duration, mayEject bool) {
+// recordResult updates the target's state by the result of a request to it. A failure ejects
+// the target only if mayEject is true.
+func (t *target) recordResult(now time.Time, r Result, maxRequestTime time.Duration, mayEject bool) {
 	switch r.Outcome {
 	case OutcomeNotSent:
 		return
@@ -58,13 +60,13 @@
 		t.updateLatency(r.Took)
 		return
 	case OutcomeLost:
-		// Nobody waits for the request any more but the target may go on with it.
-		// Freeing the slot at once would send it one request more than it has slots,
-		// again and again while it hangs.
-		t.addOrphans(now, 1, life)
+		// The sender has given the request up, but the target may still run it. If the
+		// slot were free at once, a target that hangs would get one request more than it
+		// has slots again and again.
+		t.addOrphans(now, 1, maxRequestTime)
 	case OutcomeRefused:
 		if r.Load >= t.slots {
-			t.addOrphans(now, 1, life/8)
+			t.addOrphans(now, 1, maxRequestTime/8)
 		}
 	}
 	t.consecutiveFailures++
@@ -73,13 +75,16 @@
 	}
 }
 
-func (t *target) addOrphans(now time.Time, n int, life time.Duration) {
+// addOrphans adds n orphans that end within maxDuration.
+func (t *target) addOrphans(now time.Time, n int, maxDuration time.Duration) {
 	t.orphans += n
-	if end := now.Add(life); end.After(t.orphansUntil) {
+	if end := now.Add(maxDuration); end.After(t.orphansUntil) {
 		t.orphansUntil = end
 	}
 }
 
+// eject takes the target out of use for twice as long as the last time, and for one request
+// at a time after that.
 func (t *target) eject(now time.Time) {
 	t.backoff = min(max(2*t.backoff, minEjection), maxEjection)
 	t.ejectedUntil = now.Add(t.backoff)
@@ -87,6 +92,7 @@
 	t.consecutiveFailures = 0
 }
 
+// updateLatency adds the latency of a request to the target's moving average.
 func (t *target) updateLatency(took time.Duration) {
 	if t.avgLatency == 0 {
 		t.avgLatency = took
@@ -95,33 +101,35 @@
 	t.avgLatency += time.Duration(latencyWeight * float64(took-t.avgLatency))
 }
 
-// limitOrphans takes in the number of requests that the target says it has. Ghosts only
-// end and never begin, so there are at most as many as any later count.
+// limitOrphans limits the orphans to the number of requests that the target reports to have,
+// if load isn't -1. An orphan can only end, not start, so there are at most as many as any
+// later report counts.
 func (t *target) limitOrphans(load int) {
 	if load >= 0 {
 		t.orphans = min(t.orphans, load)
 	}
 }
 
-// permitsOf returns how many of the target's permits a process has.
-func (t *target) permitsOf(by string) int {
+// permitsOf returns how many of the target's outstanding permits the process uses.
+func (t *target) permitsOf(user string) int {
 	n := 0
-	for _, h := range t.permits {
-		if h.user == by {
+	for _, p := range t.permits {
+		if p.user == user {
 			n++
 		}
 	}
 	return n
 }
 
-// pickTarget returns the target that the process by uses next: not slow before slow, then
-// the one with the most free slots; nil when none is free.
-func (c *Core) pickTarget(now time.Time, avoid, by string) *target {
+// pickTarget returns the owned target for the next request of the process user, or nil if none
+// has a free slot for it. The target to avoid comes last, before it the slow targets; among
+// the others the one with the most free slots is picked.
+func (c *Core) pickTarget(now time.Time, avoid, user string) *target {
 	var best *target
 	var bestFree int
 	for _, t := range c.sortedTargets {
 		n := t.freeSlots(now)
-		if n == 0 || c.opts.MaxPerBorrower > 0 && by != c.opts.Self && t.permitsOf(by) >= c.opts.MaxPerBorrower {
+		if n == 0 || c.opts.MaxPerBorrower > 0 && user != c.opts.Self && t.permitsOf(user) >= c.opts.MaxPerBorrower {
 			continue
 		}
 		if best == nil || isPreferred(t, best, n, bestFree, c.slowLimit, avoid) {
@@ -131,47 +139,51 @@
 	return best
 }
 
-func isPreferred(t, u *target, tFree, uFree int, limit time.Duration, avoid string) bool {
+// isPreferred reports whether target t with tFree free slots is to be used before target u
+// with uFree free slots.
+func isPreferred(t, u *target, tFree, uFree int, slowLimit time.Duration, avoid string) bool {
 	if a, b := t.addr == avoid, u.addr == avoid; a != b {
 		return b
 	}
-	if a, b := t.avgLatency > limit, u.avgLatency > limit; a != b {
+	if a, b := t.avgLatency > slowLimit, u.avgLatency > slowLimit; a != b {
 		return b
 	}
 	return tFree > uFree
 }
 
-// updateSlowLimit sets the duration above which a target counts as slow, from the median
-// over this process's own targets.
+// updateSlowLimit sets the latency above which a target counts as slow, from the median of the
+// average latencies of the owned targets.
 func (c *Core) updateSlowLimit() {
-	took := make([]time.Duration, 0, len(c.sortedTargets))
+	latencies := make([]time.Duration, 0, len(c.sortedTargets))
 	for _, t := range c.sortedTargets {
 		if t.avgLatency > 0 {
-			took = append(took, t.avgLatency)
+			latencies = append(latencies, t.avgLatency)
 		}
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		c.slowLimit = 0
 		return
 	}
-	slices.Sort(took)
-	c.slowLimit = time.Duration(slowFactor * float64(took[(len(took)-1)/2]))
+	slices.Sort(latencies)
+	c.slowLimit = time.Duration(slowFactor * float64(latencies[(len(latencies)-1)/2]))
 }
 
-// mayEject keeps at least half of the owned targets in use, whatever fails.
+// mayEject reports whether one more target may be ejected, so that at least half of the owned
+// targets stay in use.
 //
-// It guards against a fault that all targets share (or that is the process's own):
-// each would be ejected in turn and nothing be left to answer.
+// It guards against a fault that all targets share or that is in this process: each target
+// would be ejected in turn and none would be left to serve calls.
 func (c *Core) mayEject(now time.Time) bool {
-	out := 0
+	ejected := 0
 	for _, t := range c.sortedTargets {
 		if now.Before(t.ejectedUntil) {
-			out++
+			ejected++
 		}
 	}
-	return 2*(out+1) <= len(c.sortedTargets)
+	return 2*(ejected+1) <= len(c.sortedTargets)
 }
 
+// sortTargets updates sortedTargets after a change of targets.
 func (c *Core) sortTargets() {
 	c.sortedTargets = c.sortedTargets[:0]
 	for _, t := range c.targets {
