--- a/internal/route/broker/broker.go
+++ b/internal/route/broker/broker.go
@@ -13,60 +13,63 @@
 	"bramleysail.example/bramleysail/internal/route/pool"
 )
 
-// RefusedError says that a call got no slot; the request hasn't been sent anywhere.
+// RefusedError reports that a call got no slot. Its request hasn't been sent to any target.
 type RefusedError struct {
 	Reason     pool.Reason
-	RetryAfter time.Duration // when it is worth coming back
+	RetryAfter time.Duration // after which the caller should try again
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (r *RefusedError) Error() string { return "broker: refused: " + string(r.Reason) }
 
-// Options says how a Broker is set up; all fields but Seed are needed.
+// Options configures a Broker. All fields but Seed are required.
 type Options struct {
 	Service        string
-	Group          *member.Group
-	Links          *link.Set
-	RPCTimeout     time.Duration              // of one call to a peer
-	OwnershipValid func() bool                // whether this process may use what it holds
-	Authorized     func() bool                // whether it may send at all, also to slots of its peers
-	Owner          func(target string) string // who holds a target by the latest table
-	Probe          func(target string) (bool, int, bool)
+	Group          *member.Group                         // entry processes, of which this process is a member
+	Links          *link.Set                             // connections to peers
+	RPCTimeout     time.Duration                         // of one call to a peer
+	OwnershipValid func() bool                           // whether this process may use and lend the slots of its targets
+	Authorized     func() bool                           // whether this process may send requests at all, also with borrowed slots
+	Owner          func(target string) string            // returns the owner of a target by the latest assignment table
+	Probe          func(target string) (bool, int, bool) // returns whether the target is healthy, its reported load or -1, and whether it is leaving
 	Log            logr.Logger
-	Seed           uint64
+	Seed           uint64 // of the core's random numbers
 }
 
-// Broker serves one service at one process; New makes one and Run keeps it going.
+// Broker assigns slots to the calls of one service in one process. Run has to be called to
+// keep it working.
 type Broker struct {
 	opts Options
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below, but not wake and wg
 	core           *pool.Core
-	lastCall       uint64
-	waiting        map[uint64]chan decision
-	borrowed       map[pool.Key]borrowedPermit   // permits of other owners that are in use here
-	pendingAsks    map[string][]chan pool.Permit // asks of peers whose answer is held back
-	earlyReturns   map[string]map[pool.Key]bool  // permits freed before their target was taken over
-	claims         map[string]uint64             // targets being taken over, with their epochs
-	epochs         map[string]uint64             // the highest epoch known of each target
-	probing        map[string]bool               // own targets to be probed
-	wake           chan struct{}
-	ownershipValid bool
-	suspended      bool
-	wg             sync.WaitGroup
-}
-
+	lastCall       uint64                        // id of the latest call
+	waiting        map[uint64]chan decision      // calls that wait for their decision, by id
+	borrowed       map[pool.Key]borrowedPermit   // permits issued by other processes that are in use here
+	pendingAsks    map[string][]chan pool.Permit // asks whose reply is delayed until a slot is free, by peer
+	earlyReturns   map[string]map[pool.Key]bool  // permits returned while their target was being taken over, by target
+	claims         map[string]uint64             // targets that are being taken over, with the epochs of their assignments
+	epochs         map[string]uint64             // highest known epoch of each target's assignments
+	probing        map[string]bool               // owned targets with a probe under way
+	wake           chan struct{}                 // wakes Run when the first call is queued
+	ownershipValid bool                          // as last set in the core
+	suspended      bool                          // as last set in the core
+	wg             sync.WaitGroup                // RPCs, probes and claims under way
+}
+
+// borrowedPermit is a permit issued by another process that is in use here.
 type borrowedPermit struct {
 	target  string
 	expires time.Time
 }
 
+// decision is the core's decision on a call.
 type decision struct {
-	permit  pool.Permit
-	refusal *RefusedError
+	permit  pool.Permit   // if the call was not refused
+	refusal *RefusedError // or nil
 }
 
-// New returns a broker that holds no target.
+// New returns a broker that owns no target.
 func New(o Options) *Broker {
 	return &Broker{
 		opts:           o,
@@ -79,20 +82,21 @@
 		epochs:         map[string]uint64{},
 		probing:        map[string]bool{},
 		wake:           make(chan struct{}, 1),
-		ownershipValid: true, // as the core is at first
+		ownershipValid: true, // as in a new core
 	}
 }
 
 const (
-	busyTick          = 5 * time.Millisecond  // while calls wait
-	idleTick          = 50 * time.Millisecond // while none does
-	probeInterval     = 250 * time.Millisecond
-	maxReplyDelay     = 100 * time.Millisecond // how long an ask waits at its owner
-	pendingAskTimeout = 5 * time.Millisecond   // after which a parked ask no longer keeps the asker from asking others
-	returnAttempts    = 3
+	busyTick          = 5 * time.Millisecond   // tick interval while calls wait
+	idleTick          = 50 * time.Millisecond  // tick interval while none does
+	probeInterval     = 250 * time.Millisecond // between two probes of a target
+	maxReplyDelay     = 100 * time.Millisecond // how long the owner delays the reply to an ask until a slot is free
+	pendingAskTimeout = 5 * time.Millisecond   // after which an unanswered ask no longer keeps the borrower from asking others
+	returnAttempts    = 3                      // attempts to return a permit to its owner
 )
 
-// Run does what is due by time until ctx ends, then waits for calls under way.
+// Run ticks the core and probes targets until ctx ends, and then waits for the RPCs, probes and
+// claims under way.
 func (b *Broker) Run(ctx context.Context) {
 	t := time.NewTimer(busyTick)
 	defer t.Stop()
@@ -113,7 +117,7 @@
 	}
 }
 
-// tick does what is due and returns when to come again.
+// tick does the work that is due by time and returns the time until the next tick.
 func (b *Broker) tick() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,28 +130,29 @@
 	return idleTick
 }
 
-// recheckPermissions takes in whether this process may use what it holds and whether it may send;
-// the lock is held.
+// recheckPermissions updates in the core whether this process may use its targets and whether
+// it may send requests. The caller holds b.mu.
 func (b *Broker) recheckPermissions(now time.Time) {
-	if sure := b.opts.OwnershipValid(); sure != b.ownershipValid {
-		b.ownershipValid = sure
-		b.execute(b.core.SetOwnershipValid(now, sure))
+	if valid := b.opts.OwnershipValid(); valid != b.ownershipValid {
+		b.ownershipValid = valid
+		b.execute(b.core.SetOwnershipValid(now, valid))
 	}
-	if still := !b.opts.Authorized(); still != b.suspended {
-		b.suspended = still
-		b.execute(b.core.SetSuspended(now, still))
+	if suspended := !b.opts.Authorized(); suspended != b.suspended {
+		b.suspended = suspended
+		b.execute(b.core.SetSuspended(now, suspended))
 	}
 }
 
-// RecheckPermissions takes in at once, and not with the next tick, whether this process may use
-// what it holds and whether it may send.
+// RecheckPermissions updates at once, without waiting for the next tick, whether this process may
+// use its targets and whether it may send requests.
 func (b *Broker) RecheckPermissions() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recheckPermissions(time.Now())
 }
 
-// Acquire waits for a slot for the call and returns its permit, or *Refused, or ctx's error.
+// Acquire waits for a slot for the call and returns its permit. The error is a *RefusedError or
+// wraps that of ctx.
 func (b *Broker) Acquire(ctx context.Context, c pool.Call) (pool.Permit, error) {
 	ch := make(chan decision, 1)
 	b.mu.Lock()
@@ -171,16 +176,17 @@
 	defer b.mu.Unlock()
 	delete(b.waiting, c.ID)
 	select {
-	case d := <-ch: // decided meanwhile
+	case d := <-ch: // decided before b.mu was locked
 		if d.refusal == nil {
 			b.release(d.permit, pool.Result{Outcome: pool.OutcomeNotSent, Load: -1})
 		}
 	default:
 		b.core.CancelCall(c.ID)
 	}
-	return pool.Permit{}, errors.Wrap(ctx.Err(), "broker")
+	return pool.Permit{}, errors.Wrap(ctx.Err(), "broker: wait for a slot")
 }
 
+// result returns the permit or the refusal of the decision.
 func (d decision) result() (pool.Permit, error) {
 	if d.refusal != nil {
 		return pool.Permit{}, d.refusal
@@ -188,25 +194,25 @@
 	return d.permit, nil
 }
 
-// Release ends the use of a permit.
+// Release ends the use of a permit, with the result of the request sent with it.
 func (b *Broker) Release(p pool.Permit, r pool.Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.release(p, r)
 }
 
-// release ends the use of a permit; the lock is held.
+// release is Release for a caller that holds b.mu.
 func (b *Broker) release(p pool.Permit, r pool.Result) {
 	delete(b.borrowed, p.Key)
 	b.execute(b.core.HandleResult(time.Now(), p, r))
 }
 
-// IssuedHere reports whether this process owns the permit's target.
+// IssuedHere reports whether this process issued the permit for a target that it owned.
 func (b *Broker) IssuedHere(p pool.Permit) bool {
 	return p.Key.Owner == b.core.Self()
 }
 
-// execute carries out the core's actions; the lock is held.
+// execute executes the actions of the core. The caller holds b.mu.
 func (b *Broker) execute(actions []pool.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -224,19 +230,21 @@
 	}
 }
 
+// deliverPermit passes the permit of a Send to the waiting call.
 func (b *Broker) deliverPermit(a pool.Send) {
 	if a.Permit.Key.Owner != b.core.Self() {
 		b.borrowed[a.Permit.Key] = borrowedPermit{a.Permit.Target, a.Permit.Until}
 	}
 	ch := b.waiting[a.Call.ID]
 	delete(b.waiting, a.Call.ID)
-	if ch == nil { // its caller went away between two events
+	if ch == nil { // the caller has gone since the core's last event
 		b.release(a.Permit, pool.Result{Outcome: pool.OutcomeNotSent, Load: -1})
 		return
 	}
 	ch <- decision{permit: a.Permit}
 }
 
+// deliverRefusal passes a Refuse to the waiting call.
 func (b *Broker) deliverRefusal(a pool.Refuse) {
 	if ch := b.waiting[a.Call.ID]; ch != nil {
 		delete(b.waiting, a.Call.ID)
@@ -244,7 +252,8 @@
 	}
 }
 
-// borrow carries an Ask to its peer. Its permits live from before it was sent.
+// borrow asks the peer of a Borrow for slots with the RPC Peer.Ask. The lifetimes of the granted
+// permits count from before the RPC was sent.
 func (b *Broker) borrow(a pool.Borrow) {
 	m, ok := b.opts.Group.View().Get(a.Peer)
 	if !ok {
@@ -252,50 +261,52 @@
 		return
 	}
 	sent := time.Now()
-	// An ask that its owner holds back counts as answered with nothing, so that others
-	// are asked; what it brings in the end is on top.
-	early := time.AfterFunc(pendingAskTimeout, func() {
+	// An ask whose owner delays the reply counts as answered without a permit, so that
+	// other peers are asked. Permits that the reply grants later are used in addition.
+	pendingTimer := time.AfterFunc(pendingAskTimeout, func() {
 		b.handleEvent(func(now time.Time) []pool.Action { return b.core.HandleGrant(now, a.Peer, a.Slots, nil, 0) })
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), maxReplyDelay+b.opts.RPCTimeout)
 	defer cancel()
 	rep, err := link.Call[AskArgs, AskReply](ctx, b.opts.Links.Get(m.Addr), "Peer.Ask",
 		AskArgs{b.opts.Service, b.core.Self(), a.Slots, a.LongestWait})
-	n := 0
-	if early.Stop() {
-		n = a.Slots
+	pending := 0
+	if pendingTimer.Stop() {
+		pending = a.Slots
 	}
 	b.handleEvent(func(now time.Time) []pool.Action {
 		if err != nil {
-			return b.core.HandleBorrowFailure(now, a.Peer, n)
+			return b.core.HandleBorrowFailure(now, a.Peer, pending)
 		}
-		return b.core.HandleGrant(now, a.Peer, n, permitsFrom(a.Peer, sent, rep), rep.Free)
+		return b.core.HandleGrant(now, a.Peer, pending, permitsFrom(a.Peer, sent, rep), rep.Free)
 	})
 }
 
-// permitsFrom reads the grants of an answer to an ask that was sent at a time.
+// permitsFrom returns the permits granted in the reply to an ask that was sent at a time.
 func permitsFrom(owner string, sent time.Time, rep AskReply) []pool.Permit {
-	list := make([]pool.Permit, 0, len(rep.Permits))
+	permits := make([]pool.Permit, 0, len(rep.Permits))
 	for _, g := range rep.Permits {
-		list = append(list, pool.Permit{Key: pool.Key{Owner: owner, No: g.No}, Target: g.Target, Until: sent.Add(g.Life)})
+		permits = append(permits, pool.Permit{Key: pool.Key{Owner: owner, No: g.No}, Target: g.Target, Until: sent.Add(g.Life)})
 	}
-	return list
+	return permits
 }
 
-func (b *Broker) handleEvent(f func(time.Time) []pool.Action) {
+// handleEvent calls the handler with b.mu locked and executes the actions that it returns.
+func (b *Broker) handleEvent(handler func(time.Time) []pool.Action) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.execute(f(time.Now()))
+	b.execute(handler(time.Now()))
 }
 
-// HandleAsk answers a peer's HandleAsk, holding the answer back for a moment when no slot is free.
+// HandleAsk handles the RPC Peer.Ask, by which a peer borrows slots. If no slot is free it
+// delays the reply by up to maxReplyDelay.
 func (b *Broker) HandleAsk(in AskArgs) AskReply {
 	b.mu.Lock()
-	got, actions := b.core.HandleBorrow(time.Now(), in.By, in.N, in.Wait)
+	permits, actions := b.core.HandleBorrow(time.Now(), in.By, in.N, in.Wait)
 	b.execute(actions)
-	if len(got) > 0 {
+	if len(permits) > 0 {
 		defer b.mu.Unlock()
-		return b.newAskReply(got)
+		return b.newAskReply(permits)
 	}
 	ch := make(chan pool.Permit, 1)
 	b.pendingAsks[in.By] = append(b.pendingAsks[in.By], ch)
@@ -304,7 +315,7 @@
 	defer t.Stop()
 	select {
 	case p := <-ch:
-		got = append(got, p)
+		permits = append(permits, p)
 	case <-t.C:
 	}
 	b.mu.Lock()
@@ -312,42 +323,46 @@
 	b.removePendingAsk(in.By, ch)
 	select {
 	case p := <-ch:
-		got = append(got, p)
+		permits = append(permits, p)
 	default:
 	}
-	return b.newAskReply(got)
+	return b.newAskReply(permits)
 }
 
-func (b *Broker) newAskReply(got []pool.Permit) AskReply {
+// newAskReply returns the reply that grants the permits. The caller holds b.mu.
+func (b *Broker) newAskReply(permits []pool.Permit) AskReply {
 	free, _, _ := b.core.Load(time.Now())
 	rep := AskReply{Free: free}
-	for _, p := range got {
+	for _, p := range permits {
 		rep.Permits = append(rep.Permits, Grant{p.Key.No, p.Target, b.core.PermitLifetime()})
 	}
 	return rep
 }
 
-func (b *Broker) removePendingAsk(by string, ch chan pool.Permit) {
-	list := b.pendingAsks[by]
-	for i, c := range list {
+// removePendingAsk removes the ask with the channel, if no permit was sent to it. The caller
+// holds b.mu.
+func (b *Broker) removePendingAsk(peer string, ch chan pool.Permit) {
+	asks := b.pendingAsks[peer]
+	for i, c := range asks {
 		if c == ch {
-			b.pendingAsks[by] = append(list[:i:i], list[i+1:]...)
+			b.pendingAsks[peer] = append(asks[:i:i], asks[i+1:]...)
 		}
 	}
-	if len(b.pendingAsks[by]) == 0 {
-		delete(b.pendingAsks, by)
+	if len(b.pendingAsks[peer]) == 0 {
+		delete(b.pendingAsks, peer)
 	}
 }
 
-// lend answers an ask that was held back; when there is none any more the permits
-// come back. A permit pushed to a peer by itself would start its life when the peer
-// reads it, which may be long after a pause; an answer starts it when the peer asked.
+// lend grants permits to the pending asks of a peer, and takes back those for which there is no
+// ask any more. They aren't sent in RPCs of their own: the lifetime of such a permit would start
+// when the peer reads it, possibly long after a pause of the peer. The lifetime of a permit in a
+// reply starts when the peer asked.
 func (b *Broker) lend(a pool.Lend) {
 	for _, p := range a.Permits {
-		list := b.pendingAsks[a.Peer]
-		if len(list) > 0 {
-			b.pendingAsks[a.Peer] = list[1:]
-			list[0] <- p
+		asks := b.pendingAsks[a.Peer]
+		if len(asks) > 0 {
+			b.pendingAsks[a.Peer] = asks[1:]
+			asks[0] <- p
 			continue
 		}
 		now := time.Now()
@@ -356,19 +371,20 @@
 	}
 }
 
-// returnPermit tells the owner that a permit is done with, or whoever holds the target since.
-// When nobody hears it the permit runs out by itself.
+// returnPermit returns a permit with the RPC Peer.Free to the process named in the Return or, if
+// that has left, to the owner of the target by the latest assignment table. If no attempt
+// succeeds, the permit ends when it expires.
 func (b *Broker) returnPermit(a pool.Return) {
 	for range returnAttempts {
-		to := a.Peer
-		if _, ok := b.opts.Group.View().Get(to); !ok {
-			to = b.opts.Owner(a.Target)
+		owner := a.Peer
+		if _, ok := b.opts.Group.View().Get(owner); !ok {
+			owner = b.opts.Owner(a.Target)
 		}
-		m, ok := b.opts.Group.View().Get(to)
+		m, ok := b.opts.Group.View().Get(owner)
 		if !ok {
 			return
 		}
-		if to == b.core.Self() {
+		if owner == b.core.Self() {
 			b.HandleFree(FreeArgs{b.opts.Service, a.Key, a.Target, a.Result})
 			return
 		}
@@ -383,13 +399,13 @@
 	}
 }
 
-// HandleFree takes in a peer's word that a permit is done with.
+// HandleFree handles the RPC Peer.Free, by which a peer returns a permit.
 func (b *Broker) HandleFree(in FreeArgs) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, claimed := b.claims[in.Target]; claimed {
-		// The target is being taken over; its list of permits may be on its way and
-		// still name this one.
+		// The list of outstanding permits from the former owner may be on its way and
+		// still contain this permit.
 		if b.earlyReturns[in.Target] == nil {
 			b.earlyReturns[in.Target] = map[pool.Key]bool{}
 		}
@@ -398,22 +414,22 @@
 	b.execute(b.core.HandleReturn(time.Now(), in.Key, in.Target, in.Result))
 }
 
-// Load returns what heartbeats tell of this service here.
+// Load returns the load of the service in this process, for the heartbeats.
 func (b *Broker) Load() member.ServiceLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	free, want, wait := b.core.Load(time.Now())
-	return member.ServiceLoad{Free: free, Want: want, Wait: wait}
+	free, waiting, longestWait := b.core.Load(time.Now())
+	return member.ServiceLoad{Free: free, Want: waiting, Wait: longestWait}
 }
 
-// HandleHeartbeat takes in a peer's heartbeat.
+// HandleHeartbeat handles the load of the service that a peer's heartbeat reports.
 func (b *Broker) HandleHeartbeat(id string, l member.ServiceLoad) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.execute(b.core.HandleHeartbeat(time.Now(), id, l.Free, l.Want, l.Wait))
 }
 
-// SetView takes in who else there is.
+// SetView updates the peers when the view of the membership changes from old to view.
 func (b *Broker) SetView(old, view member.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -430,46 +446,47 @@
 	}
 }
 
-// SetLimits changes the service's limits.
-func (b *Broker) SetLimits(life, wait time.Duration, most int) {
+// SetLimits changes the longest time of a request, the longest wait for a slot and the number of
+// permits of one target that one peer may have at once.
+func (b *Broker) SetLimits(maxRequestTime, maxWait time.Duration, maxPerBorrower int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.SetLimits(life, wait, most)
+	b.core.SetLimits(maxRequestTime, maxWait, maxPerBorrower)
 }
 
-// SetLeaving says that an owned target gets nothing new, or may again.
+// SetLeaving sets whether an owned target is leaving and gets no new requests.
 func (b *Broker) SetLeaving(target string, leaving bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.execute(b.core.SetLeaving(time.Now(), target, leaving))
 }
 
-// Targets returns the owned targets.
+// Targets returns the owned targets in order of address.
 func (b *Broker) Targets() []pool.OwnedTarget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Targets(time.Now())
 }
 
-// QueueLen returns how many calls wait here.
+// QueueLen returns the number of calls that wait for a slot in this process.
 func (b *Broker) QueueLen() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.QueueLen()
 }
 
-// probeTargets asks the owned targets that are ejected, leaving or may have untracked
-// requests how they are.
+// probeTargets starts a probe of each owned target that is ejected, is leaving or may have
+// orphans.
 func (b *Broker) probeTargets() {
 	for _, t := range b.Targets() {
 		if !t.Ejected && !t.Leaving && t.Ghosts == 0 {
 			continue
 		}
 		b.mu.Lock()
-		busy := b.probing[t.Addr]
+		underWay := b.probing[t.Addr]
 		b.probing[t.Addr] = true
 		b.mu.Unlock()
-		if busy {
+		if underWay {
 			continue
 		}
 		b.wg.Go(func() {
--- a/internal/route/broker/broker_test.go
+++ b/internal/route/broker/broker_test.go
@@ -12,8 +12,8 @@
 	"bramleysail.example/bramleysail/internal/peer/member"
 )
 
-// A process is paused between taking its first target over and the next tick, and wakes up
-// when others have the target. It must not lend the target's slots.
+// A process is paused between the takeover of its first target and the next tick, and resumes when
+// others own the target. It must not lend the target's slots.
 func TestNoLendingWithInvalidOwnership(t *testing.T) {
 	b := New(Options{
 		Service:        "registro",
@@ -26,11 +26,11 @@
 		Log:            logr.Discard(),
 	})
 	b.TakeOverAssigned(t.Context(), map[string]shard.Assignment{"t00": {Epoch: 1}}, 4)
-	ended, end := context.WithCancel(t.Context())
-	end()
-	b.Run(ended) // until the target is owned
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
+	b.Run(canceled) // until the claim has ended
 	b.tick()
 	if got := b.HandleAsk(AskArgs{By: "e1", N: 1}); len(b.Targets()) != 1 || len(got.Permits) > 0 {
-		t.Errorf("of %d targets it lends %+v", len(b.Targets()), got.Permits)
+		t.Errorf("owns %d targets, want 1; lends %+v, want nothing", len(b.Targets()), got.Permits)
 	}
 }
--- a/internal/route/broker/claim.go
+++ b/internal/route/broker/claim.go
@@ -11,38 +11,40 @@
 	"bramleysail.example/bramleysail/internal/route/pool"
 )
 
+// claimRetryInterval is the time between two attempts to take a target over.
 const claimRetryInterval = 50 * time.Millisecond
 
-// TakeOverAssigned brings what is owned here in line with the table: it takes over the targets
-// that are new here, from their previous holder where that is alive.
-func (b *Broker) TakeOverAssigned(ctx context.Context, mine map[string]shard.Assignment, slots int) {
+// TakeOverAssigned starts to take over the assigned targets that this process doesn't own yet,
+// from their former owners where these are alive. Each target gets the number of slots.
+func (b *Broker) TakeOverAssigned(ctx context.Context, assigned map[string]shard.Assignment, slots int) {
 	owned := map[string]bool{}
 	for _, t := range b.Targets() {
 		owned[t.Addr] = true
 	}
-	for addr, row := range mine {
+	for addr, assignment := range assigned {
 		b.mu.Lock()
-		ep, under := b.claims[addr]
-		// A table from before a target was given away would take it back.
-		start := !owned[addr] && row.Epoch >= b.epochs[addr] && (!under || ep < row.Epoch)
+		epoch, claiming := b.claims[addr]
+		// The epochs keep a table older than a target's handover from taking the target back.
+		start := !owned[addr] && assignment.Epoch >= b.epochs[addr] && (!claiming || epoch < assignment.Epoch)
 		if start {
-			if row.FormerHolder == "" && row.Epoch == b.epochs[addr] {
-				// Taken over by this row before, and given up: there may be requests from then.
-				row.FormerHolder = b.core.Self()
+			if assignment.FormerHolder == "" && assignment.Epoch == b.epochs[addr] {
+				// This process took the target over by the same assignment before and gave it
+				// up, so requests from that time may still run there.
+				assignment.FormerHolder = b.core.Self()
 			}
-			b.claims[addr] = row.Epoch
-			b.epochs[addr] = row.Epoch
+			b.claims[addr] = assignment.Epoch
+			b.epochs[addr] = assignment.Epoch
 		}
 		b.mu.Unlock()
 		if start {
-			b.wg.Go(func() { b.claimTarget(ctx, addr, row, slots) })
+			b.wg.Go(func() { b.claimTarget(ctx, addr, assignment, slots) })
 		}
 	}
 }
 
-// DropTargets gives up everything that is owned here, after this process had lost its
-// membership: others may have taken it over and may still use it. What the table gives
-// to this process is taken over again like anything else.
+// DropTargets gives up all owned targets after this process has lost its membership, since
+// others may have taken them over and may use them. Targets that are still assigned to this
+// process are then taken over again like any other.
 func (b *Broker) DropTargets() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,115 +56,120 @@
 	clear(b.earlyReturns)
 }
 
-// claimTarget takes a target over. Nothing is sent there until it is known what others have
-// in flight: the permits named by the previous holder, or, when that is gone, those
-// that the other processes use, and for its own requests as many as the target says
-// it has.
+// claimTarget takes a target over. Nothing is sent to the target until the requests that others
+// have in flight there are known: the outstanding permits that the former owner reports or, if
+// that is gone, those that the other processes use. The requests of a former owner that is gone
+// count as orphans, whose number is limited by the load that the target reports.
 //
-// It guards against a target that gets more requests than it has slots while it
-// changes hands.
-func (b *Broker) claimTarget(ctx context.Context, addr string, row shard.Assignment, slots int) {
-	for ctx.Err() == nil && b.isClaiming(addr, row.Epoch) {
-		if held, ghosts, ok := b.findOutstanding(ctx, addr, row, slots); ok {
-			b.finishClaim(addr, row.Epoch, slots, held, ghosts)
+// It guards against a target that gets more requests than it has slots while its owner changes.
+func (b *Broker) claimTarget(ctx context.Context, addr string, assignment shard.Assignment, slots int) {
+	for ctx.Err() == nil && b.isClaiming(addr, assignment.Epoch) {
+		if permits, orphans, ok := b.findOutstanding(ctx, addr, assignment, slots); ok {
+			b.finishClaim(addr, assignment.Epoch, slots, permits, orphans)
 			return
 		}
 		wait.For(ctx, claimRetryInterval)
 	}
 }
 
-func (b *Broker) isClaiming(addr string, ep uint64) bool {
+// isClaiming reports whether the target is being taken over by the assignment of the epoch.
+func (b *Broker) isClaiming(addr string, epoch uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.claims[addr] == ep
+	return b.claims[addr] == epoch
 }
 
-func (b *Broker) findOutstanding(ctx context.Context, addr string, row shard.Assignment, slots int) ([]pool.OutstandingPermit, int, bool) {
-	if row.FormerHolder == "" {
+// findOutstanding returns the outstanding permits and the number of orphans of a target that is
+// being taken over, and whether they are known.
+func (b *Broker) findOutstanding(ctx context.Context, addr string, assignment shard.Assignment, slots int) ([]pool.OutstandingPermit, int, bool) {
+	if assignment.FormerHolder == "" {
 		return nil, 0, true
 	}
 	self := b.core.Self()
-	if row.FormerHolder == self {
+	if assignment.FormerHolder == self {
 		return nil, slots, true
 	}
-	if m, ok := b.opts.Group.View().Get(row.FormerHolder); ok {
-		cctx, cancel := context.WithTimeout(ctx, b.opts.RPCTimeout)
+	if m, ok := b.opts.Group.View().Get(assignment.FormerHolder); ok {
+		callCtx, cancel := context.WithTimeout(ctx, b.opts.RPCTimeout)
 		defer cancel()
-		rep, err := link.Call[ClaimArgs, ClaimReply](cctx, b.opts.Links.Get(m.Addr), "Peer.Claim",
-			ClaimArgs{b.opts.Service, addr, self, row.Epoch})
+		rep, err := link.Call[ClaimArgs, ClaimReply](callCtx, b.opts.Links.Get(m.Addr), "Peer.Claim",
+			ClaimArgs{b.opts.Service, addr, self, assignment.Epoch})
 		if err != nil || !rep.Absent {
 			return rep.Held, rep.Ghosts, err == nil && rep.OK
 		}
 	}
-	// The view may be older than the table, and the previous holder have joined since. One
-	// that joins after this reading gives up what it owned, and finds the new row.
+	// The view may be older than the assignment table, and the former owner may have joined
+	// since. A process that joins after this read of the store gives up the targets that it
+	// owned and finds the new assignment.
 	view, err := b.opts.Group.ReadView(ctx)
 	if err != nil {
 		return nil, 0, false
 	}
-	return b.askAllMembers(ctx, view, HeldArgs{b.opts.Service, addr, self, row.Epoch}, slots)
+	return b.askAllMembers(ctx, view, HeldArgs{b.opts.Service, addr, self, assignment.Epoch}, slots)
 }
 
-// askAllMembers asks every process about a target whose holder is gone or never had it.
+// askAllMembers returns the permits of a target that the members of the view use or have
+// outstanding, if the former owner is gone or never owned it. All slots count as orphans.
 func (b *Broker) askAllMembers(ctx context.Context, view member.View, in HeldArgs, slots int) ([]pool.OutstandingPermit, int, bool) {
-	held := b.HandleHeld(in).Held
+	permits := b.HandleHeld(in).Held
 	for _, m := range view.Members() {
 		if m.ID == in.By {
 			continue
 		}
-		cctx, cancel := context.WithTimeout(ctx, b.opts.RPCTimeout)
-		rep, err := link.Call[HeldArgs, HeldReply](cctx, b.opts.Links.Get(m.Addr), "Peer.Held", in)
+		callCtx, cancel := context.WithTimeout(ctx, b.opts.RPCTimeout)
+		rep, err := link.Call[HeldArgs, HeldReply](callCtx, b.opts.Links.Get(m.Addr), "Peer.Held", in)
 		cancel()
 		if err != nil {
 			return nil, 0, false
 		}
-		held = append(held, rep.Held...)
+		permits = append(permits, rep.Held...)
 	}
-	return dedupe(held), slots, true
+	return dedupe(permits), slots, true
 }
 
-// dedupe drops permits that both their user and a former holder have named.
-func dedupe(held []pool.OutstandingPermit) []pool.OutstandingPermit {
+// dedupe drops the duplicates of permits that both their user and a former owner reported.
+func dedupe(permits []pool.OutstandingPermit) []pool.OutstandingPermit {
 	seen := map[pool.Key]bool{}
-	out := held[:0]
-	for _, h := range held {
-		if !seen[h.Key] {
-			seen[h.Key] = true
-			out = append(out, h)
+	unique := permits[:0]
+	for _, p := range permits {
+		if !seen[p.Key] {
+			seen[p.Key] = true
+			unique = append(unique, p)
 		}
 	}
-	return out
+	return unique
 }
 
-func (b *Broker) finishClaim(addr string, ep uint64, slots int, held []pool.OutstandingPermit, ghosts int) {
+// finishClaim makes this process the owner of a target, unless the claim has been superseded.
+func (b *Broker) finishClaim(addr string, epoch uint64, slots int, permits []pool.OutstandingPermit, orphans int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.claims[addr] != ep {
+	if b.claims[addr] != epoch {
 		return
 	}
 	delete(b.claims, addr)
-	left := held[:0]
-	for _, h := range held {
-		if !b.earlyReturns[addr][h.Key] {
-			left = append(left, h)
+	outstanding := permits[:0]
+	for _, p := range permits {
+		if !b.earlyReturns[addr][p.Key] {
+			outstanding = append(outstanding, p)
 		}
 	}
 	delete(b.earlyReturns, addr)
-	b.execute(b.core.AddTarget(time.Now(), addr, slots, left, ghosts))
-	b.opts.Log.Info("target taken over", "service", b.opts.Service, "target", addr, "ep", ep, "held", len(left), "ghosts", ghosts)
+	b.execute(b.core.AddTarget(time.Now(), addr, slots, outstanding, orphans))
+	b.opts.Log.Info("target taken over", "service", b.opts.Service, "target", addr, "ep", epoch, "held", len(outstanding), "ghosts", orphans)
 }
 
-// HandleClaim answers the process that holds a target by a newer table.
+// HandleClaim handles the RPC Peer.Claim of the process to which a newer table assigns a target.
 //
-// A target that is being taken over here is left to the claimant. If this process took it
-// over first, two that claim the same target from each other, as it moved on and back, would
-// wait for each other.
+// If the target is being taken over here, this process gives up its own claim. If it finished
+// that first, two processes that claim a target from each other, after it moved on and back,
+// would wait for each other.
 func (b *Broker) HandleClaim(in ClaimArgs) ClaimReply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, under := b.claims[in.Target]
+	_, claiming := b.claims[in.Target]
 	owned := b.ownsTarget(in.Target)
-	if in.Ep <= b.epochs[in.Target] && (under || owned) {
+	if in.Ep <= b.epochs[in.Target] && (claiming || owned) {
 		return ClaimReply{}
 	}
 	b.epochs[in.Target] = max(b.epochs[in.Target], in.Ep)
@@ -170,11 +177,11 @@
 	if !owned {
 		return ClaimReply{Absent: true}
 	}
-	held, ghosts := b.core.RemoveTarget(time.Now(), in.Target, in.By)
-	return ClaimReply{OK: true, Held: held, Ghosts: ghosts}
+	permits, orphans := b.core.RemoveTarget(time.Now(), in.Target, in.By)
+	return ClaimReply{OK: true, Held: permits, Ghosts: orphans}
 }
 
-// ownsTarget reports whether the target is owned here; the lock is held.
+// ownsTarget reports whether this process owns the target. The caller holds b.mu.
 func (b *Broker) ownsTarget(target string) bool {
 	for _, t := range b.core.Targets(time.Now()) {
 		if t.Addr == target {
@@ -184,16 +191,16 @@
 	return false
 }
 
-// HandleHeld names the permits of a target that are in use here, and gives the target up if
-// it was owned here by an older table.
+// HandleHeld handles the RPC Peer.Held. It returns the permits of a target that are in use here,
+// and gives the target up if this process owned it by an older table.
 func (b *Broker) HandleHeld(in HeldArgs) HeldReply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	var rep HeldReply
-	for k, u := range b.borrowed {
-		if u.target == in.Target && now.Before(u.expires) {
-			rep.Held = append(rep.Held, pool.OutstandingPermit{Key: k, By: b.core.Self(), Left: u.expires.Sub(now)})
+	for k, p := range b.borrowed {
+		if p.target == in.Target && now.Before(p.expires) {
+			rep.Held = append(rep.Held, pool.OutstandingPermit{Key: k, By: b.core.Self(), Left: p.expires.Sub(now)})
 		}
 	}
 	if in.By == b.core.Self() || in.Ep <= b.epochs[in.Target] {
@@ -201,7 +208,7 @@
 	}
 	b.epochs[in.Target] = in.Ep
 	delete(b.claims, in.Target)
-	held, ghosts := b.core.RemoveTarget(now, in.Target, in.By)
-	rep.Held, rep.Ghosts = append(rep.Held, held...), ghosts
+	permits, orphans := b.core.RemoveTarget(now, in.Target, in.By)
+	rep.Held, rep.Ghosts = append(rep.Held, permits...), orphans
 	return rep
 }
--- a/internal/route/broker/claim_test.go
+++ b/internal/route/broker/claim_test.go
@@ -29,13 +29,13 @@
 	return b.Store.List(ctx, prefix, after, hold)
 }
 
-// peerService answers what processes ask each other about targets.
+// peerService is the RPC service by which processes claim targets from each other.
 type peerService struct {
 	b       *Broker
-	onClaim func() // called at each claim, if there is one
+	onClaim func() // called at each claim, if set
 }
 
-// Claim is called by its name over net/rpc.
+// Claim is the RPC Peer.Claim.
 func (p *peerService) Claim(in ClaimArgs, out *ClaimReply) error {
 	if p.onClaim != nil {
 		p.onClaim()
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Held is called by its name over net/rpc.
+// Held is the RPC Peer.Held.
 func (p *peerService) Held(in HeldArgs, out *HeldReply) error {
 	*out = p.b.HandleHeld(in)
 	return nil
@@ -53,10 +53,10 @@
 // process is a process with a broker.
 type process struct {
 	*Broker
-	viewChanged chan struct{} // its view
+	viewChanged chan struct{} // signaled when its view of the membership changes
 }
 
-// waitForMember waits until the process's view shows another.
+// waitForMember waits until the process's view contains the member.
 func (p *process) waitForMember(id string) {
 	for {
 		if _, ok := p.opts.Group.View().Get(id); ok {
@@ -66,8 +66,8 @@
 	}
 }
 
-// startProcess returns a process that has joined and answers its peers.
-func startProcess(t *testing.T, id string, s store.Store, asked func()) *process {
+// startProcess returns a process that has joined the membership and serves the RPCs of its peers.
+func startProcess(t *testing.T, id string, s store.Store, onClaim func()) *process {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +84,7 @@
 			OnViewChange: func(member.View) { wait.Wake(changed) },
 		}),
 	})
-	server, err := link.NewServer("Peer", &peerService{b, asked})
+	server, err := link.NewServer("Peer", &peerService{b, onClaim})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,86 +102,86 @@
 	return &process{b, changed}
 }
 
-// takeOver gives the target to the process by a row and waits until it has taken it over.
-func takeOver(b *process, target string, row shard.Assignment) {
-	b.TakeOverAssigned(context.Background(), map[string]shard.Assignment{target: row}, 4)
-	b.wg.Wait()
+// takeOver assigns the target to the process and waits until the process has taken it over.
+func takeOver(p *process, target string, assignment shard.Assignment) {
+	p.TakeOverAssigned(context.Background(), map[string]shard.Assignment{target: assignment}, 4)
+	p.wg.Wait()
 }
 
-// A process takes a target over while its view doesn't show yet that the previous holder
-// has joined. Taken for gone, the holder would go on sending to the target as its owner.
+// A process takes a target over while its view doesn't contain the former owner, which has joined
+// since. If it were considered gone, the former owner would go on sending to the target.
 func TestClaimFromOwnerMissingInView(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	s := store.NewHTTP(srv.URL, time.Minute)
 	next := startProcess(t, "e0", singleWatchStore{s}, nil)
-	holder := startProcess(t, "e1", s, nil)
-	takeOver(holder, "target", shard.Assignment{Holder: "e1", Epoch: 1})
-	if len(holder.Targets()) != 1 {
-		t.Fatal("the first holder has no target")
+	previous := startProcess(t, "e1", s, nil)
+	takeOver(previous, "target", shard.Assignment{Holder: "e1", Epoch: 1})
+	if len(previous.Targets()) != 1 {
+		t.Fatal("the first owner has no target")
 	}
 	takeOver(next, "target", shard.Assignment{Holder: "e0", Epoch: 2, FormerHolder: "e1"})
-	if len(next.Targets()) != 1 || len(holder.Targets()) != 0 {
-		t.Errorf("the next holder has %d, the previous %d", len(next.Targets()), len(holder.Targets()))
+	if len(next.Targets()) != 1 || len(previous.Targets()) != 0 {
+		t.Errorf("the next owner has %d targets, want 1; the former owner has %d, want 0", len(next.Targets()), len(previous.Targets()))
 	}
 }
 
-// A target moves on twice before the process in between has seen that it was its own. It
-// isn't the one to take the target over from: the holder before it is sending there yet.
+// A target is reassigned twice before the process in between has learned of its assignment. The
+// target can't be taken over from that process: the owner before it still sends to the target.
 func TestClaimSkipsProcessThatNeverOwned(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	s := store.NewHTTP(srv.URL, time.Minute)
-	next, holder := startProcess(t, "e0", s, nil), startProcess(t, "e1", s, nil)
+	next, first := startProcess(t, "e0", s, nil), startProcess(t, "e1", s, nil)
 	startProcess(t, "e2", s, nil)
 	next.waitForMember("e2")
-	takeOver(holder, "target", shard.Assignment{Holder: "e1", Epoch: 1})
+	takeOver(first, "target", shard.Assignment{Holder: "e1", Epoch: 1})
 	takeOver(next, "target", shard.Assignment{Holder: "e0", Epoch: 3, FormerHolder: "e2"})
-	if len(next.Targets()) != 1 || len(holder.Targets()) != 0 {
-		t.Errorf("the next holder has %d, the first %d", len(next.Targets()), len(holder.Targets()))
+	if len(next.Targets()) != 1 || len(first.Targets()) != 0 {
+		t.Errorf("the next owner has %d targets, want 1; the first owner has %d, want 0", len(next.Targets()), len(first.Targets()))
 	}
 }
 
-// A target moves on and back before either process has taken it over, so that each claims
-// it from the other. If both waited for the other's claim to end, nobody would ever own it.
+// A target is reassigned to another process and back before either has taken it over, so that each
+// claims it from the other. If both waited for the other's claim to end, none would ever own it.
 func TestMutualClaims(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	s := store.NewHTTP(srv.URL, time.Minute)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	both := make(chan struct{})
-	var asked atomic.Int64
-	ask := func() {
-		<-both
-		if asked.Add(1) > 20 {
+	started := make(chan struct{})
+	var claims atomic.Int64
+	onClaim := func() {
+		<-started
+		if claims.Add(1) > 20 {
 			cancel()
 		}
 	}
-	former, present := startProcess(t, "e0", s, ask), startProcess(t, "e1", s, ask)
+	former, current := startProcess(t, "e0", s, onClaim), startProcess(t, "e1", s, onClaim)
 	former.waitForMember("e1")
-	present.waitForMember("e0")
+	current.waitForMember("e0")
 	former.TakeOverAssigned(ctx, map[string]shard.Assignment{"target": {Holder: "e0", Epoch: 2, FormerHolder: "e1"}}, 4)
-	present.TakeOverAssigned(ctx, map[string]shard.Assignment{"target": {Holder: "e1", Epoch: 3, FormerHolder: "e0"}}, 4)
-	close(both)
+	current.TakeOverAssigned(ctx, map[string]shard.Assignment{"target": {Holder: "e1", Epoch: 3, FormerHolder: "e0"}}, 4)
+	close(started)
 	former.wg.Wait()
-	present.wg.Wait()
-	if len(former.Targets()) != 0 || len(present.Targets()) != 1 {
-		t.Errorf("the former holder has %d, the present one %d", len(former.Targets()), len(present.Targets()))
+	current.wg.Wait()
+	if len(former.Targets()) != 0 || len(current.Targets()) != 1 {
+		t.Errorf("the former owner has %d targets, want 0; the current owner has %d, want 1", len(former.Targets()), len(current.Targets()))
 	}
 }
 
-// The first owner of a target loses its membership and joins again before anybody has taken
-// the target over. Its requests from before are still there and fill slots.
+// The first owner of a target loses its membership and joins again before another process has
+// taken the target over. Its earlier requests may still run there and occupy slots.
 func TestOrphansCountedOnReclaim(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
 	owner := startProcess(t, "e0", store.NewHTTP(srv.URL, time.Minute), nil)
-	row := shard.Assignment{Holder: "e0", Epoch: 1}
-	takeOver(owner, "target", row)
+	assignment := shard.Assignment{Holder: "e0", Epoch: 1}
+	takeOver(owner, "target", assignment)
 	owner.DropTargets()
-	takeOver(owner, "target", row)
+	takeOver(owner, "target", assignment)
 	if got := owner.Targets(); len(got) != 1 || got[0].Ghosts != 4 {
-		t.Errorf("owned again: %+v", got)
+		t.Errorf("want one target with 4 orphans, got %+v", got)
 	}
 }
--- a/internal/route/broker/doc.go
+++ b/internal/route/broker/doc.go
@@ -1,3 +1,4 @@
-// Package broker runs a pool's decisions for one service: it gives callers their
-// slots, exchanges permits with peers over net/rpc, and takes targets over.
+// Package broker executes the decisions of a pool.Core for one service. It gives
+// calls their permits, borrows and lends permits over net/rpc, and takes over the
+// targets that are assigned to this process.
 package broker
