--- a/internal/route/pool/action.go
+++ b/internal/route/pool/action.go
@@ -63,7 +63,7 @@
 	Permit Permit
 }
 
-// Refuse is the action to reject the call at once.
+// Refuse is the action to refuse the call at once.
 type Refuse struct {
 	Call       Call
 	Reason     Reason
--- a/internal/route/pool/core.go
+++ b/internal/route/pool/core.go
@@ -89,6 +89,7 @@
 	return actions
 }
 
+// emit adds an action to those of the current event.
 func (c *Core) emit(a Action) {
 	c.actions = append(c.actions, a)
 }
--- a/internal/route/pool/simulation_test.go
+++ b/internal/route/pool/simulation_test.go
@@ -475,7 +475,10 @@
 }
 
 // BenchmarkTail measures latencies in virtual time, also in relation to one ideal queue and to
-// two random choices. The results don't depend on the machine.
+// two random choices. The results don't depend on the machine. The first part of a case's name
+// is a deployment: association has a network delay of 0.5 ms between failure domains and
+// wildheart one of 1.5 ms. In the slow cases every tenth target is five times slower than the
+// others, and in the kill cases one core dies halfway.
 func BenchmarkTail(b *testing.B) {
 	const (
 		cores, targets, slots = 9, 50, 8
