--- a/internal/route/once/doc.go
+++ b/internal/route/once/doc.go
@@ -1,3 +1,3 @@
-// Package once remembers the ids of non-idempotent requests so that a repeat, also
-// through another entry process, never runs a second time.
+// Package once runs non-idempotent requests at most once. A replicated registry of request
+// ids detects a repeat of a request, also one that comes through another entry process.
 package once
--- a/internal/route/once/lostmembers.go
+++ b/internal/route/once/lostmembers.go
@@ -1,46 +1,47 @@
 package once
 
-// lostMembers tells whether records may be missing, by the members that have been lost. Each record is known to two of
-// them, so one may be lost at a time; before the next, what it knew has been passed on.
+// lostMembers decides from the members that have been lost whether records may be missing. Two members know each record,
+// so the loss of one member loses no record; before the next loss, its records have been passed on.
 //
-// A member that is lost from the view need not have ended: one that couldn't renew its membership in time comes back under its id with
-// all that it knew.
+// A member that is lost from the view need not have ended. One that couldn't renew its membership in time returns under its id with
+// all its records.
 type lostMembers struct {
-	lastSynced  map[string]bool // members of the last view for which everything was known
-	absent      map[string]bool // of those that were lost at once, the ones that haven't come back
-	unknownLost bool            // records were lost with members that aren't known
+	lastSynced  map[string]bool // members of the view that was synced last
+	absent      map[string]bool // members that were lost together and haven't returned
+	unknownLost bool            // records were lost with members whose ids aren't known
 }
 
-// update takes the members of a view from each of which everything has been learned. It returns how many were lost at once
-// since the view before, and whether none that knew of a record which is missing is still away.
-func (l *lostMembers) update(members []string) (lost int, whole bool) {
-	now := make(map[string]bool, len(members))
+// update takes the members of a view after the records of all of them have been merged. It returns how many members were lost
+// since the view synced before, and whether no record can be missing any more: two members knew each record, so at most one
+// of the members lost together may still be absent.
+func (l *lostMembers) update(members []string) (lost int, complete bool) {
+	current := make(map[string]bool, len(members))
 	for _, id := range members {
-		now[id] = true
+		current[id] = true
 	}
 	var gone []string
 	for id := range l.lastSynced {
-		if !now[id] {
+		if !current[id] {
 			gone = append(gone, id)
 		}
 	}
-	l.lastSynced = now
+	l.lastSynced = current
 	if len(gone) > 1 {
 		l.addAbsent(gone)
 	}
-	for id := range now {
+	for id := range current {
 		delete(l.absent, id)
 	}
 	return len(gone), !l.unknownLost && len(l.absent) <= 1
 }
 
-// addReported takes what a member says that may be missing records: the names that it gives, or that it gives none.
+// addReported adds the absent members that a peer with incomplete records reports. No ids mean that the peer doesn't know them all.
 func (l *lostMembers) addReported(ids []string) {
 	l.unknownLost = l.unknownLost || len(ids) == 0
 	l.addAbsent(ids)
 }
 
-// addAbsent takes members that are away with records.
+// addAbsent adds members that are absent with records that may be missing.
 func (l *lostMembers) addAbsent(ids []string) {
 	if l.absent == nil {
 		l.absent = map[string]bool{}
@@ -50,20 +51,20 @@
 	}
 }
 
-// reset drops what was lost so long ago that no record of then is kept.
+// reset forgets all losses, once no record from before them is kept any more.
 func (l *lostMembers) reset() {
 	clear(l.absent)
 	l.unknownLost = false
 }
 
-// absentIDs returns the members that are away with records; none when others may be, which aren't known.
+// absentIDs returns the absent members that have the missing records, or nil when not all of them are known.
 func (l *lostMembers) absentIDs() []string {
 	if l.unknownLost {
 		return nil
 	}
-	var all []string
+	var ids []string
 	for id := range l.absent {
-		all = append(all, id)
+		ids = append(ids, id)
 	}
-	return all
+	return ids
 }
--- a/internal/route/once/registry.go
+++ b/internal/route/once/registry.go
@@ -13,109 +13,110 @@
 	"bramleysail.example/bramleysail/internal/peer/member"
 )
 
-// ErrHomeUnavailable says that the request was not begun: its home can't be reached or can't
-// vouch for it yet. It has not run; it may be tried again later.
+// ErrHomeUnavailable means that the request was not begun, because the home of its id can't be
+// reached or can't decide on the id yet. The request has not run and may be retried later.
 var ErrHomeUnavailable = errors.New("once: home not reached")
 
-// BeginArgs asks a home to enter a request.
+// BeginArgs asks the home of a request id, or its backup, to register the request.
 type BeginArgs struct {
-	Epoch uint64 // of the sender's view
-	ID    string
-	Print uint64
-	By    string
+	Epoch uint64 // epoch of the sender's view
+	ID    string // id of the request
+	Print uint64 // fingerprint of the request's content
+	By    string // member id of the sender, the entry process that sends the request to targets
 }
 
-// BeginReply is a home's answer. Ready is false when the two views differ or the home
-// has yet to learn what others know.
+// BeginReply is the reply to BeginArgs.
 type BeginReply struct {
-	Ready   bool
-	Verdict Verdict
-	Record  Record
+	Ready   bool    // false when the two views differ, the receiver isn't authorized, or the home isn't synced
+	Verdict Verdict // set when Ready
+	Record  Record  // what was known of the request before, if anything
 }
 
-// FinishArgs tells a home how a request ended; with Drop set that it was never sent.
+// FinishArgs reports to the home of a request id, or its backup, how the request ended.
 type FinishArgs struct {
-	Record Record
-	Drop   bool
+	Record Record // the final record; only ID and By are set when Drop is
+	Drop   bool   // the request was never sent: forget its id
 }
 
-// PullArgs asks for the records whose home or witness the asker is in the view of that epoch.
+// PullArgs asks for the records of the ids whose home or backup the asking process is.
 type PullArgs struct {
-	Epoch uint64
-	By    string
+	Epoch uint64 // epoch of the view that determines homes and backups
+	By    string // member id of the asking process
 }
 
-// PullReply holds them; Ready is false while the giver's view is older. Blank is how
-// long ago the giver's memory became incomplete, 0 when it's whole; Away are the members that know what is missing.
+// PullReply is the reply to PullArgs.
 type PullReply struct {
-	Ready bool
-	Blank time.Duration
-	Away  []string
-	Rows  []Record
+	Ready bool          // false while the view of the replying process is older than the one asked for
+	Blank time.Duration // how long ago its records became incomplete, 0 when they are complete
+	Away  []string      // absent members that have the missing records; none when not all of them are known
+	Rows  []Record      // the records
 }
 
-// Registry runs one process's part of the ids' homes. Each request is entered in the
-// table of the process that sends it and in that of its home, the first member in
-// the id's order; where these are the same process, the second is its witness. So
-// what one lost process knew, another knows as well, and a process that becomes the
-// home of an id learns it from the others before it answers.
+// Registry is one process's part of the replicated registry of request ids.
+//
+// Each request is recorded by the process that sends it and by the home of its id, the
+// first member in the id's order. If these are the same process, the second member in that
+// order, the backup, has the other copy. So each record survives the loss of one process,
+// and a process that becomes the home of an id pulls the records of the other members
+// before it answers.
 type Registry struct {
-	table      *Table
-	group      *member.Group
-	links      *link.Set
+	table      *Table        // the records known to this process
+	group      *member.Group // the membership, whose view determines homes and backups
+	links      *link.Set     // connections to the other members
 	log        logr.Logger
-	rpcTimeout time.Duration // of one call
+	rpcTimeout time.Duration // bounds one call to a member
 
-	mu          sync.Mutex
-	syncedEpoch uint64 // epoch for which everything is known
-	lost        lostMembers
-	synced      bool
+	mu          sync.Mutex  // guards the fields below
+	syncedEpoch uint64      // epoch of the latest view whose members' records are all merged here
+	lost        lostMembers // members that were lost with records that may be missing
+	synced      bool        // whether any view has been synced
 }
 
-// NewRegistry returns the homes' part of a process.
-func NewRegistry(t *Table, g *member.Group, l *link.Set, limit time.Duration, log logr.Logger) *Registry {
-	return &Registry{table: t, group: g, links: l, rpcTimeout: limit, log: log}
+// NewRegistry returns a registry that keeps its records in t and bounds each call to a
+// member by rpcTimeout.
+func NewRegistry(t *Table, g *member.Group, l *link.Set, rpcTimeout time.Duration, log logr.Logger) *Registry {
+	return &Registry{table: t, group: g, links: l, rpcTimeout: rpcTimeout, log: log}
 }
 
 const (
 	retryInterval = 20 * time.Millisecond
-	// maxBeginAttempts bounds how often a begin is repeated while views or homes settle.
+	// maxBeginAttempts bounds how often a begin is repeated while views or homes change.
 	maxBeginAttempts = 50
 )
 
-// Begin enters the request here and at its home. Only Fresh with a nil error allows
-// it to be sent.
-func (h *Registry) Begin(ctx context.Context, id string, print uint64) (Verdict, Record, error) {
-	self := h.group.Self().ID
-	v, r := h.table.Begin(time.Now(), id, print, self, false, h.isMember)
+// Begin registers the request here and at the home of its id. The request may be sent only
+// if the verdict is VerdictNew and the error is nil.
+func (reg *Registry) Begin(ctx context.Context, id string, fingerprint uint64) (Verdict, Record, error) {
+	self := reg.group.Self().ID
+	v, r := reg.table.Begin(time.Now(), id, fingerprint, self, false, reg.isMember)
 	if v != VerdictNew {
 		return v, r, nil
 	}
-	v, r, err := h.beginRemote(ctx, id, print, self)
+	v, r, err := reg.beginRemote(ctx, id, fingerprint, self)
 	if err != nil || v != VerdictNew {
-		h.table.DropUnsent(id, self)
+		reg.table.DropUnsent(id, self)
 	}
 	if err != nil {
-		go h.sendDrop(id, self)
+		go reg.sendDrop(id, self)
 	}
 	return v, r, err
 }
 
-// beginRemote begins the request at the home, or at the witness when this process is the home.
-func (h *Registry) beginRemote(ctx context.Context, id string, print uint64, self string) (Verdict, Record, error) {
+// beginRemote registers the request at the home, or at the backup when this process is the home.
+func (reg *Registry) beginRemote(ctx context.Context, id string, fingerprint uint64, self string) (Verdict, Record, error) {
 	for range maxBeginAttempts {
-		if !h.group.Authorized() {
-			// When the store comes back, one process renews first and the others can't
-			// be sure until they have, too, a moment later.
+		if !reg.group.Authorized() {
+			// When the store answers again after an outage, one process renews its membership
+			// first. The others aren't authorized until they have renewed theirs, a moment later.
 			if err := waitRetry(ctx); err != nil {
 				return "", Record{}, err
 			}
 			continue
 		}
-		view := h.group.View()
+		view := reg.group.View()
 		home, ok := view.HomeOf(id)
 		if ok && home.ID == self {
-			if !h.isSynced(view.Epoch()) {
+			if !reg.isSynced(view.Epoch()) {
 				if err := waitRetry(ctx); err != nil {
 					return "", Record{}, err
 				}
@@ -124,9 +125,9 @@
 			home, ok = view.HomeOf(id, self)
 		}
 		if !ok {
-			return VerdictNew, Record{}, nil // alone: nobody else could be asked about it either
+			return VerdictNew, Record{}, nil // this process is the only member, so no other has a record
 		}
-		rep, err := h.callBegin(ctx, home, BeginArgs{view.Epoch(), id, print, self})
+		rep, err := reg.callBegin(ctx, home, BeginArgs{view.Epoch(), id, fingerprint, self})
 		switch {
 		case err != nil:
 			return "", Record{}, errors.Wrap(ErrHomeUnavailable, err.Error())
@@ -140,12 +141,14 @@
 	return "", Record{}, errors.Wrap(ErrHomeUnavailable, "views or this process's membership did not settle")
 }
 
-func (h *Registry) callBegin(ctx context.Context, m member.Member, in BeginArgs) (BeginReply, error) {
-	cctx, cancel := context.WithTimeout(ctx, h.rpcTimeout)
+// callBegin calls Peer.Begin at a member.
+func (reg *Registry) callBegin(ctx context.Context, m member.Member, in BeginArgs) (BeginReply, error) {
+	cctx, cancel := context.WithTimeout(ctx, reg.rpcTimeout)
 	defer cancel()
-	return link.Call[BeginArgs, BeginReply](cctx, h.links.Get(m.Addr), "Peer.Begin", in)
+	return link.Call[BeginArgs, BeginReply](cctx, reg.links.Get(m.Addr), "Peer.Begin", in)
 }
 
+// waitRetry waits for the retry interval, or fails when ctx ends before.
 func waitRetry(ctx context.Context) error {
 	if !wait.For(ctx, retryInterval) {
 		return errors.Wrap(ErrHomeUnavailable, ctx.Err().Error())
@@ -153,54 +156,59 @@
 	return nil
 }
 
-func (h *Registry) isMember(id string) bool {
-	_, ok := h.group.View().Get(id)
+// isMember reports whether a process is in the current view.
+func (reg *Registry) isMember(id string) bool {
+	_, ok := reg.group.View().Get(id)
 	return ok
 }
 
-// HandleBegin answers a peer's Begin.
+// HandleBegin answers the RPC Peer.Begin.
 //
-// It guards against two homes for one id: during a change of members two processes
-// may each think they are the home. Equal views have one home, and a home answers in
-// a view only after every member of it has moved to that view and passed on its records.
-func (h *Registry) HandleBegin(in BeginArgs) BeginReply {
-	view := h.group.View()
+// It guards against two homes of one id, as two processes may both take themselves for the
+// home while the members change. Processes with equal views agree on the home, and a home
+// answers in a view only after every other member of it has moved to that view and passed
+// on its records.
+func (reg *Registry) HandleBegin(in BeginArgs) BeginReply {
+	view := reg.group.View()
 	var rep BeginReply
-	if in.Epoch != view.Epoch() || !h.group.Authorized() {
+	if in.Epoch != view.Epoch() || !reg.group.Authorized() {
 		return rep
 	}
-	if home, _ := view.HomeOf(in.ID); home.ID == h.group.Self().ID && !h.isSynced(view.Epoch()) {
+	if home, _ := view.HomeOf(in.ID); home.ID == reg.group.Self().ID && !reg.isSynced(view.Epoch()) {
 		return rep
 	}
 	rep.Ready = true
-	rep.Verdict, rep.Record = h.table.Begin(time.Now(), in.ID, in.Print, in.By, true, h.isMember)
+	rep.Verdict, rep.Record = reg.table.Begin(time.Now(), in.ID, in.Print, in.By, true, reg.isMember)
 	return rep
 }
 
-// Finish notes how a request that was begun here ended, here and at its home.
-func (h *Registry) Finish(r Record) {
-	r.By = h.group.Self().ID
-	h.table.Finish(time.Now(), r)
-	h.sendFinish(FinishArgs{Record: r})
+// Finish records how a request that was begun here ended, here and at the home of its id.
+func (reg *Registry) Finish(r Record) {
+	r.By = reg.group.Self().ID
+	reg.table.Finish(time.Now(), r)
+	reg.sendFinish(FinishArgs{Record: r})
 }
 
-// DropUnsent notes that a request that was begun here was certainly not sent.
-func (h *Registry) DropUnsent(id string) {
-	self := h.group.Self().ID
-	h.table.DropUnsent(id, self)
-	h.sendDrop(id, self)
+// DropUnsent forgets a request that was begun here and was certainly not sent, here and at
+// the home of its id.
+func (reg *Registry) DropUnsent(id string) {
+	self := reg.group.Self().ID
+	reg.table.DropUnsent(id, self)
+	reg.sendDrop(id, self)
 }
 
-func (h *Registry) sendDrop(id, by string) {
-	h.sendFinish(FinishArgs{Record: Record{ID: id, By: by}, Drop: true})
+// sendDrop reports to the home that a request was not sent.
+func (reg *Registry) sendDrop(id, by string) {
+	reg.sendFinish(FinishArgs{Record: Record{ID: id, By: by}, Drop: true})
 }
 
-// sendFinish passes the word to the home and the witness, a few times if it is lost. A home
-// that never hears it answers repeats with "running" and, once this process is gone,
-// with "unknown": both true.
-func (h *Registry) sendFinish(in FinishArgs) {
-	self := h.group.Self().ID
-	view := h.group.View()
+// sendFinish reports the end of a request to the home, or to the backup when this process is
+// the home, and repeats the call when it fails. A home that never gets the report answers
+// repeats with VerdictRunning and, once this process is gone, with VerdictUnknown; both are
+// correct.
+func (reg *Registry) sendFinish(in FinishArgs) {
+	self := reg.group.Self().ID
+	view := reg.group.View()
 	home, ok := view.HomeOf(in.Record.ID)
 	if ok && home.ID == self {
 		home, ok = view.HomeOf(in.Record.ID, self)
@@ -209,8 +217,8 @@
 		return
 	}
 	for range 3 {
-		ctx, cancel := context.WithTimeout(context.Background(), h.rpcTimeout)
-		_, err := link.Call[FinishArgs, bool](ctx, h.links.Get(home.Addr), "Peer.Finish", in)
+		ctx, cancel := context.WithTimeout(context.Background(), reg.rpcTimeout)
+		_, err := link.Call[FinishArgs, bool](ctx, reg.links.Get(home.Addr), "Peer.Finish", in)
 		cancel()
 		if err == nil {
 			return
@@ -218,29 +226,31 @@
 	}
 }
 
-// HandleFinish takes in a peer's word on how a request ended.
-func (h *Registry) HandleFinish(in FinishArgs) {
+// HandleFinish answers the RPC Peer.Finish: it records how a request of another process
+// ended, or forgets one that was not sent.
+func (reg *Registry) HandleFinish(in FinishArgs) {
 	if in.Drop {
-		h.table.DropUnsent(in.Record.ID, in.Record.By)
+		reg.table.DropUnsent(in.Record.ID, in.Record.By)
 		return
 	}
-	h.table.Finish(time.Now(), in.Record)
+	reg.table.Finish(time.Now(), in.Record)
 }
 
-// HandlePull answers a peer's Pull with the records whose home or witness it is.
+// HandlePull answers the RPC Peer.Pull with the records of the ids whose home or backup the
+// asking process is.
 //
-// The witness's copy guards against deaths one after the other: when the process that
-// sent a request dies, its home alone knows of it, and a repeat after the home's death
-// would run it again.
-func (h *Registry) HandlePull(in PullArgs) PullReply {
-	view := h.group.View()
+// The backup's copy guards against losses one after the other: when the process that sent a
+// request is lost, only the home has its record, and a repeat after the loss of the home
+// would run the request again.
+func (reg *Registry) HandlePull(in PullArgs) PullReply {
+	view := reg.group.View()
 	if view.Epoch() < in.Epoch {
 		return PullReply{}
 	}
-	h.mu.Lock()
-	away := h.lost.absentIDs()
-	h.mu.Unlock()
-	return PullReply{Ready: true, Blank: h.table.IncompleteSince(time.Now()), Away: away, Rows: h.table.Select(func(id string) bool {
+	reg.mu.Lock()
+	away := reg.lost.absentIDs()
+	reg.mu.Unlock()
+	return PullReply{Ready: true, Blank: reg.table.IncompleteSince(time.Now()), Away: away, Rows: reg.table.Select(func(id string) bool {
 		home, ok := view.HomeOf(id)
 		if ok && home.ID != in.By {
 			home, ok = view.HomeOf(id, home.ID)
@@ -249,78 +259,81 @@
 	})}
 }
 
-func (h *Registry) isSynced(epoch uint64) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.synced && h.syncedEpoch == epoch
+// isSynced reports whether the records of all members of the epoch's view are merged here.
+func (reg *Registry) isSynced(epoch uint64) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	return reg.synced && reg.syncedEpoch == epoch
 }
 
-// SyncView learns what the other members of a new view know, until a newer view comes
-// or ctx ends. It returns at once for a view that has nobody else in it.
-func (h *Registry) SyncView(ctx context.Context, view member.View) {
-	self := h.group.Self().ID
-	todo := map[string]member.Member{}
+// SyncView pulls the records of all other members of a new view and merges them. It repeats
+// failed pulls until a newer view comes or ctx ends, and returns at once for a view without
+// other members.
+func (reg *Registry) SyncView(ctx context.Context, view member.View) {
+	self := reg.group.Self().ID
+	pending := map[string]member.Member{}
 	for _, m := range view.Members() {
 		if m.ID != self {
-			todo[m.ID] = m
+			pending[m.ID] = m
 		}
 	}
-	for len(todo) > 0 && ctx.Err() == nil && h.group.View().Epoch() == view.Epoch() {
-		for id, m := range todo {
-			if h.pullRecords(ctx, m, view.Epoch()) {
-				delete(todo, id)
+	for len(pending) > 0 && ctx.Err() == nil && reg.group.View().Epoch() == view.Epoch() {
+		for id, m := range pending {
+			if reg.pullRecords(ctx, m, view.Epoch()) {
+				delete(pending, id)
 			}
 		}
-		if len(todo) > 0 && waitRetry(ctx) != nil {
+		if len(pending) > 0 && waitRetry(ctx) != nil {
 			return
 		}
 	}
-	if len(todo) == 0 {
-		h.markSynced(view)
+	if len(pending) == 0 {
+		reg.markSynced(view)
 	}
 }
 
-func (h *Registry) pullRecords(ctx context.Context, m member.Member, epoch uint64) bool {
-	cctx, cancel := context.WithTimeout(ctx, 4*h.rpcTimeout)
+// pullRecords merges the records of one member and reports whether it was ready to send them.
+func (reg *Registry) pullRecords(ctx context.Context, m member.Member, epoch uint64) bool {
+	cctx, cancel := context.WithTimeout(ctx, 4*reg.rpcTimeout)
 	defer cancel()
-	rep, err := link.Call[PullArgs, PullReply](cctx, h.links.Get(m.Addr), "Peer.Pull", PullArgs{epoch, h.group.Self().ID})
+	rep, err := link.Call[PullArgs, PullReply](cctx, reg.links.Get(m.Addr), "Peer.Pull", PullArgs{epoch, reg.group.Self().ID})
 	if err != nil || !rep.Ready {
 		return false
 	}
 	now := time.Now()
-	h.table.Merge(now, rep.Rows)
+	reg.table.Merge(now, rep.Rows)
 	if rep.Blank > 0 {
-		h.mu.Lock()
-		h.lost.addReported(rep.Away)
-		h.mu.Unlock()
-		h.table.MarkIncomplete(now.Add(-rep.Blank))
+		reg.mu.Lock()
+		reg.lost.addReported(rep.Away)
+		reg.mu.Unlock()
+		reg.table.MarkIncomplete(now.Add(-rep.Blank))
 	}
 	return true
 }
 
-// markSynced notes that everything is known for the view, or that too many members were
-// lost since the last one for that to be true. A process's first view has no last one:
-// what was lost before it came is known to those that were there.
-func (h *Registry) markSynced(view member.View) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if view.Epoch() < h.syncedEpoch {
-		return // a newer view has settled meanwhile
+// markSynced notes that the records of all members of the view are merged, and marks the
+// table as incomplete when too many members were lost since the view synced before. No member
+// counts as lost in the first view of a process: the others report the losses before it.
+func (reg *Registry) markSynced(view member.View) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if view.Epoch() < reg.syncedEpoch {
+		return // a newer view has been synced meanwhile
 	}
 	var members []string
 	for _, m := range view.Members() {
 		members = append(members, m.ID)
 	}
-	lost, whole := h.lost.update(members)
+	lost, complete := reg.lost.update(members)
 	if lost > 1 {
-		h.table.MarkIncomplete(time.Now())
-		h.log.Info("request ids may be forgotten", "lost", lost, "epoch", view.Epoch())
+		reg.table.MarkIncomplete(time.Now())
+		reg.log.Info("request ids may be forgotten", "lost", lost, "epoch", view.Epoch())
 	}
-	if whole && h.table.MarkComplete() {
-		h.log.Info("request ids are known again", "epoch", view.Epoch())
+	if complete && reg.table.MarkComplete() {
+		reg.log.Info("records of request ids are complete again", "epoch", view.Epoch())
 	}
-	if h.table.IncompleteSince(time.Now()) == 0 {
-		h.lost.reset()
+	if reg.table.IncompleteSince(time.Now()) == 0 {
+		reg.lost.reset()
 	}
-	h.syncedEpoch, h.synced = view.Epoch(), true
+	reg.syncedEpoch, reg.synced = view.Epoch(), true
 }
--- a/internal/route/once/table.go
+++ b/internal/route/once/table.go
@@ -8,67 +8,69 @@
 	"github.com/google/uuid"
 )
 
-// State is how far a request got, as far as a process knows.
+// State is how far a request has got, as one process knows it.
 type State string
 
 // The states of a request.
 const (
-	StateBegun   State = "begun"   // it may be sent from now on
-	StateDone    State = "done"    // its whole answer is known
-	StateUnknown State = "unknown" // it may have run; nobody knows
+	StateBegun   State = "begun"   // registered; it may be sent from now on
+	StateDone    State = "done"    // answered; the answer is recorded
+	StateUnknown State = "unknown" // it may have run; no process knows its outcome
 )
 
-// Verdict is the answer to Begin.
+// Verdict is the decision of Begin on whether a request may be sent.
 type Verdict string
 
 // The verdicts; only VerdictNew allows the request to be sent.
 const (
-	VerdictNew      Verdict = "fresh"
-	VerdictRunning  Verdict = "running"
-	VerdictDone     Verdict = "done"
+	VerdictNew      Verdict = "fresh"    // the id was not known and is now registered
+	VerdictRunning  Verdict = "running"  // a process that is still a member sends it
+	VerdictDone     Verdict = "done"     // it has been answered
 	VerdictUnknown  Verdict = "unknown"  // it may have run before
 	VerdictMismatch Verdict = "mismatch" // the id belongs to a different request
 )
 
-// Answer is what a repeat is told of a finished request.
+// Answer is what is stored of a target's answer, for repeats of the request.
 type Answer struct {
-	Status int
-	Type   string // of the body's content
-	Body   []byte
-	Whole  bool // false when the body was too large to be kept
+	Status int    // HTTP status
+	Type   string // Content-Type of the body
+	Body   []byte // empty when it was too large to be stored
+	Whole  bool   // false when the body was too large to be stored
 }
 
-// Record is what is known of one request.
+// Record is what a process knows of one request.
 type Record struct {
-	ID     string
-	Print  uint64 // of the request's content
-	By     string // the entry process that sends it
-	State  State
-	Answer Answer
-	At     time.Time // when it became known here; not passed on
+	ID     string    // id of the request
+	Print  uint64    // fingerprint of its content
+	By     string    // member id of the entry process that sends it
+	State  State     // how far it has got
+	Answer Answer    // set in StateDone
+	At     time.Time // when this process recorded it; each process sets its own time
 }
 
+// numShards is the number of parts of a Table that are locked separately.
 const numShards = 32
 
-// Table holds the records of one process; New makes one. It is safe for concurrent use.
+// Table holds the records known to one process; NewTable makes one. It is safe for concurrent use.
 type Table struct {
-	seed      maphash.Seed
-	retention time.Duration
+	seed      maphash.Seed  // of the hash that assigns ids to shards
+	retention time.Duration // how long each record is kept
 	shards    [numShards]shard
 
-	mu              sync.Mutex
-	incompleteUntil time.Time // ids made before this time may be missing; zero when none is
+	mu              sync.Mutex // guards incompleteUntil
+	incompleteUntil time.Time  // records made before this time may be missing; zero when none is
 }
 
+// shard is one part of a Table.
 type shard struct {
 	mu         sync.Mutex
-	records    map[string]Record
-	nextExpiry time.Time // when old records are dropped next
+	records    map[string]Record // by request id
+	nextExpiry time.Time         // when expired records are removed next
 }
 
-// NewTable returns an empty table that keeps each record for keep.
-func NewTable(keep time.Duration) *Table {
-	t := &Table{seed: maphash.MakeSeed(), retention: keep}
+// NewTable returns an empty table that keeps each record for the retention time.
+func NewTable(retention time.Duration) *Table {
+	t := &Table{seed: maphash.MakeSeed(), retention: retention}
 	for i := range t.shards {
 		t.shards[i].records = map[string]Record{}
 	}
@@ -79,14 +81,14 @@
 	return &t.shards[maphash.String(t.seed, id)%numShards]
 }
 
-// Begin enters the request unless it is known; alive says whether an entry process
-// is still there. With a verdict of Done the record holds the answer.
+// Begin registers the request unless its id is known; alive reports whether an entry process
+// is still a member. With VerdictDone the record holds the answer.
 //
-// With repeats, a request that the same process has begun before is fresh again. A
-// home has to say so: it may have learned of the request from that process's records
-// before the process's own call arrives. The process itself tells its callers'
-// repeats apart by its own table.
-func (t *Table) Begin(now time.Time, id string, print uint64, by string, repeats bool, alive func(string) bool) (Verdict, Record) {
+// With allowRebegin, a request that the same process has begun before counts as new again.
+// The home of an id sets it, as it may have got the record from that process's table before
+// the process's own call arrives. The process itself detects its callers' repeats by its own
+// table.
+func (t *Table) Begin(now time.Time, id string, fingerprint uint64, by string, allowRebegin bool, alive func(string) bool) (Verdict, Record) {
 	s := t.shardOf(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,18 +98,19 @@
 		if t.mayBeLost(now, id) {
 			return VerdictUnknown, Record{}
 		}
-		s.records[id] = Record{ID: id, Print: print, By: by, State: StateBegun, At: now}
+		s.records[id] = Record{ID: id, Print: fingerprint, By: by, State: StateBegun, At: now}
 		return VerdictNew, Record{}
 	}
-	if r.State == StateBegun && r.By == by && r.Print == print && repeats {
+	if r.State == StateBegun && r.By == by && r.Print == fingerprint && allowRebegin {
 		return VerdictNew, r
 	}
-	return repeatVerdict(r, print, alive), r
+	return repeatVerdict(r, fingerprint, alive), r
 }
 
-func repeatVerdict(r Record, print uint64, alive func(string) bool) Verdict {
+// repeatVerdict decides on a request whose id is known.
+func repeatVerdict(r Record, fingerprint uint64, alive func(string) bool) Verdict {
 	switch {
-	case r.Print != print:
+	case r.Print != fingerprint:
 		return VerdictMismatch
 	case r.State == StateDone:
 		return VerdictDone
@@ -116,11 +119,11 @@
 	case alive(r.By):
 		return VerdictRunning
 	}
-	// Its process is gone and may have sent it before.
+	// The process that began it is no longer a member and may have sent it before it was lost.
 	return VerdictUnknown
 }
 
-// Finish notes how a request ended; a request that is known to be done stays so.
+// Finish records how a request ended. A record in StateDone stays as it is.
 func (t *Table) Finish(now time.Time, r Record) {
 	s := t.shardOf(r.ID)
 	s.mu.Lock()
@@ -132,7 +135,7 @@
 	s.records[r.ID] = r
 }
 
-// DropUnsent forgets a request that was begun by the process and certainly not sent.
+// DropUnsent removes the record of a request that was begun by the process and certainly not sent.
 func (t *Table) DropUnsent(id, by string) {
 	s := t.shardOf(id)
 	s.mu.Lock()
@@ -142,9 +145,10 @@
 	}
 }
 
-// Merge takes in records from another process; what is known further along wins.
-func (t *Table) Merge(now time.Time, rows []Record) {
-	for _, r := range rows {
+// Merge adds records from another process. Of two records of one request, the one in the
+// further state is kept.
+func (t *Table) Merge(now time.Time, records []Record) {
+	for _, r := range records {
 		s := t.shardOf(r.ID)
 		s.mu.Lock()
 		old, ok := s.records[r.ID]
@@ -156,24 +160,24 @@
 	}
 }
 
-// Select returns the records whose id is wanted.
-func (t *Table) Select(want func(id string) bool) []Record {
-	var rows []Record
+// Select returns the records whose id matches.
+func (t *Table) Select(match func(id string) bool) []Record {
+	var records []Record
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for id, r := range s.records {
-			if want(id) {
-				rows = append(rows, r)
+			if match(id) {
+				records = append(records, r)
 			}
 		}
 		s.mu.Unlock()
 	}
-	return rows
+	return records
 }
 
-// MarkIncomplete notes that records made up to now may be lost, because more processes
-// were lost at once than hold a record.
+// MarkIncomplete notes that records made up to now may be missing, because more processes
+// were lost at once than hold copies of a record.
 func (t *Table) MarkIncomplete(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,13 +190,13 @@
 func (t *Table) MarkComplete() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was := !t.incompleteUntil.IsZero()
+	incomplete := !t.incompleteUntil.IsZero()
 	t.incompleteUntil = time.Time{}
-	return was
+	return incomplete
 }
 
-// IncompleteSince returns how long ago SetBlank's time was, or 0 when the memory is whole, as it is once no record of then
-// would be kept any more.
+// IncompleteSince returns how long ago the time passed to MarkIncomplete was, or 0 when the
+// table is complete. It is complete again once records of that time are past their retention.
 func (t *Table) IncompleteSince(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,16 +206,17 @@
 	return max(now.Sub(t.incompleteUntil), 1)
 }
 
-// maxClockSkew is how far the clocks of callers may be off for an id's own time to be trusted.
+// maxClockSkew is how far callers' clocks may be off without making the creation time in an
+// id unusable.
 const maxClockSkew = 2 * time.Second
 
-// mayBeLost reports whether an unknown id may be that of a lost record. Ids that tell
-// their time of making (UUID version 7) and were made since are certainly new.
+// mayBeLost reports whether an unknown id may be that of a missing record. An id that holds
+// its creation time (UUID version 7) and was created after the loss is certainly new.
 func (t *Table) mayBeLost(now time.Time, id string) bool {
 	t.mu.Lock()
-	blank := t.incompleteUntil
+	until := t.incompleteUntil
 	t.mu.Unlock()
-	if blank.IsZero() || now.Sub(blank) > t.retention {
+	if until.IsZero() || now.Sub(until) > t.retention {
 		return false
 	}
 	u, err := uuid.Parse(id)
@@ -219,19 +224,20 @@
 		return true
 	}
 	sec, nsec := u.Time().UnixTime()
-	return !time.Unix(sec, nsec).After(blank.Add(maxClockSkew))
+	return !time.Unix(sec, nsec).After(until.Add(maxClockSkew))
 }
 
+// expiryInterval is the time between two removals of expired records from a shard.
 const expiryInterval = time.Second
 
-// expireRecords forgets the records older than keep; the lock is held.
-func (s *shard) expireRecords(now time.Time, keep time.Duration) {
+// expireRecords removes the records that are older than the retention time; the lock is held.
+func (s *shard) expireRecords(now time.Time, retention time.Duration) {
 	if now.Before(s.nextExpiry) {
 		return
 	}
 	s.nextExpiry = now.Add(expiryInterval)
 	for id, r := range s.records {
-		if now.Sub(r.At) > keep {
+		if now.Sub(r.At) > retention {
 			delete(s.records, id)
 		}
 	}
