--- a/internal/route/entry/code.go
+++ b/internal/route/entry/code.go
@@ -10,42 +10,43 @@
 	"bramleysail.example/bramleysail/internal/route/relay"
 )
 
-// Code is the stable name of an answer that isn't a target's own.
+// Code is the stable name of an answer's kind: CodeOK for a target's answer, or the cause of a Failure.
 type Code string
 
 // The codes, as docs/REQUESTS.md explains them to callers.
 const (
-	CodeOK              Code = "ok"
-	CodeBadRequest      Code = "bad-request"
-	CodeTooLarge        Code = "too-large"
-	CodeSlowRequest     Code = "slow-request"
-	CodeUnknownService  Code = "unknown-service"
-	CodeOverloaded      Code = "overloaded"
-	CodeNoTarget        Code = "no-target"
-	CodeDeadline        Code = "deadline"
-	CodeHomeUnavailable Code = "home-unsure"
-	CodeNotSent         Code = "not-sent"
-	CodeStillRunning    Code = "still-running"
-	CodeAlreadyRun      Code = "already-run"
-	CodeKeyReused       Code = "key-reused"
-	CodeAnswerLost      Code = "answer-lost"
-	CodeAnswerUnusable  Code = "answer-unusable"
-	CodeOutcomeUnknown  Code = "outcome-unknown"
+	CodeOK              Code = "ok"              // a target's answer, or the stored answer for a repeat
+	CodeBadRequest      Code = "bad-request"     // a header of the request is invalid
+	CodeTooLarge        Code = "too-large"       // the request's body exceeds the limit
+	CodeSlowRequest     Code = "slow-request"    // the request's body didn't arrive in time
+	CodeUnknownService  Code = "unknown-service" // no service of that name is declared
+	CodeOverloaded      Code = "overloaded"      // more requests wait than can be answered in time
+	CodeNoTarget        Code = "no-target"       // no target is usable now
+	CodeDeadline        Code = "deadline"        // the deadline passed before a slot was free
+	CodeHomeUnavailable Code = "home-unsure"     // the home of the request id can't decide whether it is new
+	CodeNotSent         Code = "not-sent"        // no target accepted the request
+	CodeStillRunning    Code = "still-running"   // a request with the same key is running
+	CodeAlreadyRun      Code = "already-run"     // the request ran before; its answer was too large to be stored
+	CodeKeyReused       Code = "key-reused"      // the key belongs to a request with other content
+	CodeAnswerLost      Code = "answer-lost"     // no usable answer came; the request may have run
+	CodeAnswerUnusable  Code = "answer-unusable" // the target's answer is invalid; the request may have run
+	CodeOutcomeUnknown  Code = "outcome-unknown" // an earlier request with the same key may have run
 )
 
 // Outcome says whether the request ran.
 type Outcome string
 
-// The outcomes, as they stand in the Sail-Outcome header.
+// The outcomes, which are the values of the Sail-Outcome header.
 const (
 	OutcomeNotRun  Outcome = "not-run"
 	OutcomeUnknown Outcome = "unknown"
 	OutcomeDone    Outcome = "done"
 )
 
+// codeInfo is what a failure with a code tells the caller.
 type codeInfo struct {
-	status  int
-	outcome Outcome
+	status  int     // HTTP status
+	outcome Outcome // whether the request ran
 }
 
 var codeInfos = map[Code]codeInfo{
@@ -66,11 +67,11 @@
 	CodeOutcomeUnknown:  {http.StatusBadGateway, OutcomeUnknown},
 }
 
-// Failure is an answer of this project's own.
+// Failure is an answer by the entry process itself, in place of a target's answer.
 type Failure struct {
-	Code       Code
-	Text       string
-	RetryAfter time.Duration // when to come back; 0 when coming back doesn't help
+	Code       Code          // the cause
+	Text       string        // explanation for the caller
+	RetryAfter time.Duration // when a retry is worthwhile; 0 when it never is
 }
 
 // Error implements error.
@@ -78,18 +79,18 @@
 
 // writeTo sends the failure to the caller.
 func (f *Failure) writeTo(w http.ResponseWriter) {
-	m := codeInfos[f.Code]
+	info := codeInfos[f.Code]
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(relay.HeaderOutcome, string(m.outcome))
+	h.Set(relay.HeaderOutcome, string(info.outcome))
 	if f.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds()))))
 	}
-	w.WriteHeader(m.status)
+	w.WriteHeader(info.status)
 	_ = json.NewEncoder(w).Encode(struct {
 		Code    Code    `json:"code"`
 		Outcome Outcome `json:"outcome"`
 		Text    string  `json:"text"`
 		After   int64   `json:"after,omitempty"` // milliseconds
-	}{f.Code, m.outcome, f.Text, f.RetryAfter.Milliseconds()})
+	}{f.Code, info.outcome, f.Text, f.RetryAfter.Milliseconds()})
 }
--- a/internal/route/entry/entry.go
+++ b/internal/route/entry/entry.go
@@ -24,40 +24,41 @@
 	"bramleysail.example/bramleysail/internal/route/relay"
 )
 
-// Service is what an entry process knows of a service when a request comes.
+// Service is what an entry process needs to handle a request to a service.
 type Service struct {
-	Name          string
-	Broker        *broker.Broker
-	RetryBudget   *RetryBudget
-	Timeout       time.Duration
-	Slots         int // connections that the owner of a target opens to it
-	BorrowerConns int // connections that a borrower opens to it
+	Name          string         // name of the service
+	Broker        *broker.Broker // assigns slots of the service's targets
+	RetryBudget   *RetryBudget   // limits retries and hedged attempts
+	Timeout       time.Duration  // longest time for a request, waiting included
+	Slots         int            // most connections that the owner of a target opens to it
+	BorrowerConns int            // most connections that a borrower opens to a target
 }
 
-// Options says how an Entry is set up; all fields are needed.
+// Options are the settings of an Entry; all fields are required.
 type Options struct {
-	FindService func(service string) (Service, bool)
-	Registry    *once.Registry
-	Relay       *relay.Relay
-	Limits      conf.Limit
+	FindService func(service string) (Service, bool) // returns a declared service by its name
+	Registry    *once.Registry                       // registry of request ids
+	Relay       *relay.Relay                         // sends requests to targets
+	Limits      conf.Limit                           // limits of size and time of requests
 	Log         logr.Logger
-	Scope       tally.Scope
+	Scope       tally.Scope // scope of the metrics
 }
 
 // Entry answers callers' requests; New makes one.
 type Entry struct {
 	opts     Options
-	attempts atomic.Uint64
-	process  string
-	metrics  sync.Map // of meterKey to *meter
+	attempts atomic.Uint64 // number of attempts so far
+	process  string        // name of this process
+	metrics  sync.Map      // of answerMetricsKey to *answerMetrics
 }
 
-// New returns an entry whose tries carry name in their ids, which is unique to the process.
-func New(name string, o Options) *Entry {
-	return &Entry{opts: o, process: name}
+// New returns an entry. The ids of its attempts begin with process, the unique name of this
+// process.
+func New(process string, o Options) *Entry {
+	return &Entry{opts: o, process: process}
 }
 
-// Handler returns the HTTP interface for callers: /{service}/{path}.
+// Handler returns the HTTP handler of the callers' interface: /{service}/{path}.
 func (e *Entry) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.HandleFunc("/{service}", e.serveHTTP)
@@ -68,6 +69,7 @@
 	return r
 }
 
+// serveHTTP handles one request, with its trace span and its metrics.
 func (e *Entry) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	name := chi.URLParam(r, "service")
@@ -77,11 +79,12 @@
 	code := e.handleRequest(ctx, w, r, name)
 	span.SetAttributes(attribute.String("code", string(code)))
 	if code == CodeUnknownService {
-		name = "unknown" // the caller's words would make a series of metrics each
+		name = "unknown" // each name that a caller makes up would create a metric series of its own
 	}
 	e.metricsFor(name, code).record(time.Since(began))
 }
 
+// handleRequest answers one request to the named service and returns the code of the answer.
 func (e *Entry) handleRequest(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) Code {
 	s, ok := e.opts.FindService(name)
 	if !ok {
@@ -97,18 +100,20 @@
 		a, f := e.sendWithRetries(ctx, s, q)
 		return e.writeResult(w, a, f)
 	}
-	// The caller may go away, but its request goes on to the end: a repeat then gets
-	// the answer instead of "unknown".
+	// The request continues when its caller goes away, so that a repeat gets the answer
+	// instead of an unknown outcome.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), q.deadline)
 	defer cancel()
 	return e.runAtMostOnce(ctx, w, s, q)
 }
 
+// writeFailure sends a failure to the caller and returns its code.
 func writeFailure(w http.ResponseWriter, f *Failure) Code {
 	f.writeTo(w)
 	return f.Code
 }
 
+// writeResult sends the failure or, if that is nil, the target's answer to the caller.
 func (e *Entry) writeResult(w http.ResponseWriter, a relay.Answer, f *Failure) Code {
 	if f != nil {
 		return writeFailure(w, f)
@@ -117,10 +122,11 @@
 	return CodeOK
 }
 
-// hopByHopHeaders end at each connection and aren't passed on.
+// hopByHopHeaders concern only the connection to the target; they aren't passed on to the caller.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Te", "Trailer", "Upgrade",
 	relay.HeaderLoad, relay.HeaderState, relay.HeaderAttemptID, "Content-Length"}
 
+// writeAnswer sends a target's answer to the caller.
 func writeAnswer(w http.ResponseWriter, status int, header http.Header, body []byte) {
 	h := w.Header()
 	for k, v := range header {
@@ -136,13 +142,14 @@
 
 const headerContentType = "Content-Type"
 
-const maxStoredBody = 4 << 10 // bytes of an answer that are kept for repeats
+const maxStoredBody = 4 << 10 // largest body of an answer, in bytes, that is stored for repeats
 
-// runAtMostOnce runs a non-idempotent request unless its key is known.
+// runAtMostOnce sends a non-idempotent request if its key is new, and otherwise answers it as a
+// repeat of the request that has the key.
 func (e *Entry) runAtMostOnce(ctx context.Context, w http.ResponseWriter, s Service, q request) Code {
-	print := q.fingerprint(s.Name)
+	fingerprint := q.fingerprint(s.Name)
 	bctx, span := telem.Tracer().Start(ctx, "once.begin")
-	v, rec, err := e.opts.Registry.Begin(bctx, q.Key, print)
+	v, rec, err := e.opts.Registry.Begin(bctx, q.Key, fingerprint)
 	span.End()
 	if err != nil {
 		return writeFailure(w, &Failure{Code: CodeHomeUnavailable, Text: "the request was not begun: " + err.Error(), RetryAfter: time.Second})
@@ -155,28 +162,30 @@
 		e.opts.Registry.DropUnsent(q.Key)
 		return writeFailure(w, f)
 	}
-	done := once.Record{ID: q.Key, Print: print, State: once.StateUnknown}
+	final := once.Record{ID: q.Key, Print: fingerprint, State: once.StateUnknown}
 	if f == nil {
-		done.State = once.StateDone
-		done.Answer = storedAnswer(a)
+		final.State = once.StateDone
+		final.Answer = storedAnswer(a)
 	}
-	// The caller has its answer first; its repeat finds the request begun meanwhile.
+	// The caller gets its answer before the outcome is recorded. A repeat that arrives in
+	// between finds the request still running.
 	code := e.writeResult(w, a, f)
-	e.opts.Registry.Finish(done)
+	e.opts.Registry.Finish(final)
 	return code
 }
 
+// storedAnswer returns what is stored of an answer for repeats.
 func storedAnswer(a relay.Answer) once.Answer {
-	k := once.Answer{Status: a.Status, Whole: len(a.Body) <= maxStoredBody}
-	if k.Whole {
-		// A copy, as the body as read has room to spare.
-		k.Body = bytes.Clone(a.Body)
-		k.Type = a.Header.Get(headerContentType)
+	stored := once.Answer{Status: a.Status, Whole: len(a.Body) <= maxStoredBody}
+	if stored.Whole {
+		// The body as read has spare capacity, which a copy doesn't keep in memory.
+		stored.Body = bytes.Clone(a.Body)
+		stored.Type = a.Header.Get(headerContentType)
 	}
-	return k
+	return stored
 }
 
-// answerRepeat answers a request that was begun before.
+// answerRepeat answers a request whose key is known already.
 func (e *Entry) answerRepeat(w http.ResponseWriter, v once.Verdict, rec once.Record) Code {
 	switch v {
 	case once.VerdictRunning:
@@ -195,24 +204,24 @@
 	return writeFailure(w, &Failure{Code: CodeOutcomeUnknown, Text: "the request may have run before; it was not run again"})
 }
 
-// sendWithRetries gets the request a slot and its answer, trying again where that is harmless and
-// the budget allows it.
+// sendWithRetries waits for a slot, sends the request and returns its answer. It retries where
+// that is safe and the budget allows it.
 func (e *Entry) sendWithRetries(ctx context.Context, s Service, q request) (relay.Answer, *Failure) {
 	s.RetryBudget.addTokens()
-	came, avoid := time.Now(), ""
+	arrived, avoidTarget := time.Now(), ""
 	var last *Failure
 	for {
-		p, err := e.acquirePermit(ctx, s, pool.Call{Team: q.team, Priority: q.priority, Arrived: came, Deadline: q.deadline, AvoidTarget: avoid})
+		p, err := e.acquirePermit(ctx, s, pool.Call{Team: q.team, Priority: q.priority, Arrived: arrived, Deadline: q.deadline, AvoidTarget: avoidTarget})
 		if err != nil {
 			if last != nil {
-				return relay.Answer{}, last // what a try before has come to is the truer word
+				return relay.Answer{}, last // the earlier attempt's failure says more exactly whether the request ran
 			}
 			return relay.Answer{}, brokerFailure(err)
 		}
 		a, err := e.sendHedged(ctx, s, p, q)
 		if errors.Is(err, relay.ErrUnauthorized) && ctx.Err() == nil {
-			// It waits until this process may send again. No target has seen it, so it is
-			// no retry that the budget is there to bound.
+			// The next acquirePermit waits until this process may send again. No target has
+			// received the request, so sending it again isn't a retry that the budget limits.
 			continue
 		}
 		if err == nil && !(q.Idempotent && isTransientStatus(a.Status) && ctx.Err() == nil && s.RetryBudget.takeToken()) {
@@ -224,62 +233,65 @@
 		} else if !isSafeToRetry(err, q.Idempotent) || ctx.Err() != nil || !s.RetryBudget.takeToken() {
 			return a, last
 		}
-		avoid = p.Target
+		avoidTarget = p.Target
 	}
 }
 
-// isTransientStatus reports whether a status tells of a state that another target may not be in.
+// isTransientStatus reports whether a status tells of a state of the target that others may not
+// be in.
 func isTransientStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
 // isSafeToRetry reports whether a request may be sent again after the error: it certainly
-// didn't run, or running twice does nothing more than once.
+// didn't run, or running it twice has the same effect as running it once.
 func isSafeToRetry(err error, idempotent bool) bool {
 	return idempotent || errors.Is(err, relay.ErrNotSent) || errors.Is(err, relay.ErrRefused)
 }
 
+// acquirePermit waits for a slot, within a trace span.
 func (e *Entry) acquirePermit(ctx context.Context, s Service, c pool.Call) (pool.Permit, error) {
 	ctx, span := telem.Tracer().Start(ctx, "broker.wait")
 	defer span.End()
 	return s.Broker.Acquire(ctx, c)
 }
 
-// attemptResult is how one try ended.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	answer relay.Answer
 	err    error
 }
 
-// sendHedged sends the request and, when it is idempotent and takes much longer than requests
-// to the service do, sends it to a second target as well; the first whole answer counts.
-// The other sendHedged isn't cut: the target may go on with it all the same, and its slot stays
-// accounted for until it ends.
+// sendHedged sends the request to the permit's target. If the request is idempotent and takes
+// much longer than the service's mean latency, it sends it to a second target as well and
+// returns the first whole answer. The other attempt isn't cancelled: its target may go on with
+// the request in any case, and its slot stays accounted for until the attempt ends.
 func (e *Entry) sendHedged(ctx context.Context, s Service, p pool.Permit, q request) (relay.Answer, error) {
 	after := s.RetryBudget.hedgeDelay()
 	if !q.Idempotent || after == 0 {
 		return e.sendTimed(ctx, s, p, q)
 	}
-	replies := make(chan attemptResult, 2)
-	// Detached from the caller, who may have its answer from the other try.
+	results := make(chan attemptResult, 2)
+	// Detached from the caller's context, as the caller may already have the answer of the
+	// other attempt.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), q.deadline)
-	begin := func(p pool.Permit) {
+	send := func(p pool.Permit) {
 		a, err := e.sendTimed(ctx, s, p, q)
-		replies <- attemptResult{a, err}
+		results <- attemptResult{a, err}
 	}
-	go begin(p)
+	go send(p)
 	running := 1
-	defer func() { e.cancelAfterLast(cancel, replies, running) }()
+	defer func() { e.cancelAfterLast(cancel, results, running) }()
 	t := time.NewTimer(after)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			if second, ok := e.acquireHedgePermit(ctx, s, p, q); ok {
+			if hedge, ok := e.acquireHedgePermit(ctx, s, p, q); ok {
 				running++
-				go begin(second)
+				go send(hedge)
 			}
-		case r := <-replies:
+		case r := <-results:
 			running--
 			if r.err == nil || running == 0 {
 				return r.answer, r.err
@@ -288,21 +300,22 @@
 	}
 }
 
-// cancelAfterLast ends the context of a request's tries after the last of them.
-func (e *Entry) cancelAfterLast(cancel context.CancelFunc, replies <-chan attemptResult, running int) {
+// cancelAfterLast cancels the context of a request's attempts when the last of them has ended.
+func (e *Entry) cancelAfterLast(cancel context.CancelFunc, results <-chan attemptResult, running int) {
 	if running == 0 {
 		cancel()
 		return
 	}
 	go func() {
 		for range running {
-			<-replies
+			<-results
 		}
 		cancel()
 	}()
 }
 
-// acquireHedgePermit gets a slot for a second try, if one is free now and the budget allows it.
+// acquireHedgePermit returns a permit for a hedged attempt, if the budget allows it and a slot
+// becomes free within maxHedgeWait.
 func (e *Entry) acquireHedgePermit(ctx context.Context, s Service, first pool.Permit, q request) (pool.Permit, bool) {
 	if !s.RetryBudget.takeToken() {
 		return pool.Permit{}, false
@@ -312,10 +325,10 @@
 	return p, err == nil
 }
 
-// maxHedgeWait is how long a second try waits for a slot.
+// maxHedgeWait is how long a hedged attempt waits for a slot.
 const maxHedgeWait = 5 * time.Millisecond
 
-// sendTimed sends the request and notes how long whole answers take.
+// sendTimed sends one attempt and records the latency of a whole answer.
 func (e *Entry) sendTimed(ctx context.Context, s Service, p pool.Permit, q request) (relay.Answer, error) {
 	began := time.Now()
 	a, err := e.sendAttempt(ctx, s, p, q)
@@ -325,8 +338,9 @@
 	return a, err
 }
 
+// sendAttempt sends the request once, to the permit's target, and releases the permit.
 func (e *Entry) sendAttempt(ctx context.Context, s Service, p pool.Permit, q request) (relay.Answer, error) {
-	// The permit's end bounds the exchange, as its owner may use the slot after it.
+	// The permit's expiry bounds the exchange, as the owner of the target may reuse the slot after it.
 	ctx, cancel := context.WithDeadline(ctx, p.Until)
 	defer cancel()
 	ctx, span := telem.Tracer().Start(ctx, "relay.send", trace.WithSpanKind(trace.SpanKindClient),
@@ -344,23 +358,24 @@
 	}
 	a, err := e.opts.Relay.Do(ctx, p.Target, role, conns, q.Request)
 	if errors.Is(err, relay.ErrUnauthorized) {
-		// Before the release, as the slot would go to the next call.
+		// This comes before the release, which would otherwise give the slot to the next call.
 		s.Broker.RecheckPermissions()
 	}
 	s.Broker.Release(p, poolResult(a, err, time.Since(began)))
 	if err != nil {
-		e.opts.Log.V(0).Info("try failed", "service", s.Name, "target", p.Target, "try", q.ID, "err", err.Error())
+		e.opts.Log.V(0).Info("attempt failed", "service", s.Name, "target", p.Target, "try", q.ID, "err", err.Error())
 	}
 	return a, err
 }
 
-func poolResult(a relay.Answer, err error, took time.Duration) pool.Result {
-	r := pool.Result{Outcome: pool.OutcomeOK, Took: took, Load: a.Load, Leaving: a.Leaving}
+// poolResult returns how an attempt counts in the accounting of its target.
+func poolResult(a relay.Answer, err error, latency time.Duration) pool.Result {
+	r := pool.Result{Outcome: pool.OutcomeOK, Took: latency, Load: a.Load, Leaving: a.Leaving}
 	switch {
 	case errors.Is(err, relay.ErrUnauthorized):
 		r.Outcome = pool.OutcomeNotSent
 	case errors.Is(err, relay.ErrNotSent):
-		// The target can't be reached: that counts against it like a failure.
+		// The target can't be reached, which counts as a failure of the target.
 		r.Outcome = pool.OutcomeFailed
 	case errors.Is(err, relay.ErrRefused):
 		r.Outcome = pool.OutcomeRefused
@@ -374,7 +389,8 @@
 	return r
 }
 
-// brokerFailure turns a broker's error into the caller's answer. Nothing was sent.
+// brokerFailure returns the answer to the caller for an error of the broker. The request was
+// not sent.
 func brokerFailure(err error) *Failure {
 	var r *broker.RefusedError
 	if !errors.As(err, &r) {
@@ -389,7 +405,7 @@
 	return &Failure{Code: CodeOverloaded, Text: "more requests wait than can be answered in time", RetryAfter: r.RetryAfter}
 }
 
-// relayFailure turns a relay's error into the caller's answer.
+// relayFailure returns the answer to the caller for an error of the relay.
 func relayFailure(err error) *Failure {
 	switch {
 	case err == nil:
--- a/internal/route/entry/entry_test.go
+++ b/internal/route/entry/entry_test.go
@@ -20,46 +20,50 @@
 	"bramleysail.example/bramleysail/internal/route/relay"
 )
 
-// authorization is whether a process may use what it holds, as its parts see it. The relay asks
-// with each write and finds it lost the first time; the broker asks with each tick and
-// finds it back later.
+// authorization simulates the loss of a process's authorization to send. The relay checks it at
+// each write, and the first check finds it lost. The broker checks it at each tick, and the
+// fourth check after the loss finds it valid again.
 type authorization struct {
 	mu     sync.Mutex
-	writes int
-	ticks  int // of the broker without the right
-	lost   bool
+	writes int  // number of the relay's checks
+	ticks  int  // number of the broker's checks since the loss
+	lost   bool // whether the process may not send
 }
 
-func (r *authorization) checkWrite() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.writes++
-	if r.writes == 1 {
-		r.lost = true
+// checkWrite is the relay's check.
+func (a *authorization) checkWrite() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.writes++
+	if a.writes == 1 {
+		a.lost = true
 	}
-	return !r.lost
+	return !a.lost
 }
 
-func (r *authorization) checkTick() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.lost {
-		r.ticks++
-		r.lost = r.ticks < 4
+// checkTick is the broker's check.
+func (a *authorization) checkTick() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.lost {
+		a.ticks++
+		a.lost = a.ticks < 4
 	}
-	return !r.lost
+	return !a.lost
 }
 
-func (r *authorization) isValid() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !r.lost
+// isValid reports whether the process may send, without counting a check.
+func (a *authorization) isValid() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return !a.lost
 }
 
-// The right to a target is lost between a check-in's slot and its writing, as when the
-// store comes back, and its broker learns of it with the next tick only. The check-in must
-// wait here and be run once, whatever is left of the budget of retries: it must neither be
-// refused nor sent on and on meanwhile.
+// TestUnauthorizedRequestWaits guards against a request that is refused or sent over and over
+// while the process isn't authorized to send. The authorization is lost between the request's
+// permit and its first write, as when the store comes back, and the broker learns of it only at
+// its next tick. The request must wait in this process and run once, however small the retry
+// budget is.
 func TestUnauthorizedRequestWaits(t *testing.T) {
 	target := faketarget.New(4, 0)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,14 +75,14 @@
 	t.Cleanup(func() { _ = srv.Close() })
 	addr := l.Addr().String()
 
-	r := &authorization{}
+	auth := &authorization{}
 	b := broker.New(broker.Options{
 		Service:        "registro",
 		Group:          member.New(member.Options{Self: member.Member{ID: "e0"}}),
 		Links:          &link.Set{},
 		RPCTimeout:     time.Second,
-		OwnershipValid: r.checkTick,
-		Authorized:     r.isValid,
+		OwnershipValid: auth.checkTick,
+		Authorized:     auth.isValid,
 		Probe:          func(string) (bool, int, bool) { return true, 0, false },
 		Log:            logr.Discard(),
 	})
@@ -86,7 +90,7 @@
 	b.TakeOverAssigned(t.Context(), map[string]shard.Assignment{addr: {Epoch: 1}}, 4)
 	ended, end := context.WithCancel(t.Context())
 	end()
-	b.Run(ended) // until the target is owned
+	b.Run(ended) // returns when the target has been taken over
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -97,7 +101,7 @@
 		cancel()
 		<-done
 	})
-	rl := relay.New(1<<20, r.checkWrite)
+	rl := relay.New(1<<20, auth.checkWrite)
 	t.Cleanup(rl.Close)
 	e := New("e0", Options{Relay: rl, Log: logr.Discard()})
 
@@ -105,18 +109,18 @@
 	q := request{Request: relay.Request{Key: "bottle", Method: http.MethodPost, Path: "/checkin", Body: []byte("x")}, deadline: time.Now().Add(time.Minute)}
 	a, f := e.sendWithRetries(ctx, s, q)
 	if f != nil || a.Status != http.StatusOK {
-		t.Errorf("%+v, %v", a, f)
+		t.Errorf("answer %+v, failure %v", a, f)
 	}
 	if n := target.Runs("bottle"); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the request ran %d times, want 1", n)
 	}
-	if r.writes != 2 {
-		t.Errorf("%d writes were tried, want 2", r.writes)
+	if auth.writes != 2 {
+		t.Errorf("%d writes attempted, want 2", auth.writes)
 	}
 }
 
-// A process that may not send for a moment doesn't hold that against its targets, which it
-// would eject one after the other.
+// TestUnauthorizedNotChargedToTarget guards against counting requests that this process was not
+// authorized to send as failures of their targets, which would all be ejected one by one.
 func TestUnauthorizedNotChargedToTarget(t *testing.T) {
 	for err, want := range map[error]pool.Outcome{
 		relay.ErrUnauthorized: pool.OutcomeNotSent,
@@ -124,7 +128,7 @@
 		relay.ErrAnswerLost:   pool.OutcomeLost,
 	} {
 		if got := poolResult(relay.Answer{Load: -1}, errors.Wrap(err, "test"), 0).Outcome; got != want {
-			t.Errorf("%v: %s, want %s", err, got, want)
+			t.Errorf("outcome of %v: %s, want %s", err, got, want)
 		}
 	}
 }
--- a/internal/route/entry/metrics.go
+++ b/internal/route/entry/metrics.go
@@ -6,19 +6,22 @@
 	tally "github.com/uber-go/tally/v4"
 )
 
+// answerMetricsKey identifies an answerMetrics.
 type answerMetricsKey struct {
 	service string
 	code    Code
 }
 
-// answerMetrics counts the answers of one service with one code.
+// answerMetrics holds the metrics of one service's answers with one code.
 type answerMetrics struct {
-	count   tally.Counter
-	latency tally.Histogram
+	count   tally.Counter   // number of answers
+	latency tally.Histogram // time from the request's arrival to its answer
 }
 
+// latencyBuckets are the bounds of the latency histogram: 16 buckets from 1 ms on, each twice the one before.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
+// metricsFor returns the metrics of a service and code, which it makes at first use.
 func (e *Entry) metricsFor(service string, code Code) *answerMetrics {
 	k := answerMetricsKey{service, code}
 	if m, ok := e.metrics.Load(k); ok {
@@ -29,7 +32,8 @@
 	return m.(*answerMetrics)
 }
 
-func (m *answerMetrics) record(took time.Duration) {
+// record counts one answer.
+func (m *answerMetrics) record(latency time.Duration) {
 	m.count.Inc(1)
-	m.latency.RecordDuration(took)
+	m.latency.RecordDuration(latency)
 }
--- a/internal/route/entry/request.go
+++ b/internal/route/entry/request.go
@@ -16,25 +16,25 @@
 	"bramleysail.example/bramleysail/internal/route/relay"
 )
 
-// Headers by which callers say what they want.
+// Headers of callers' requests.
 const (
-	headerIdempotencyKey = "Idempotency-Key" // the caller's id of a request, the same in each repeat
-	headerIdempotent     = "Sail-Idempotent" // yes or no, where the method doesn't tell
-	headerTeam           = "Sail-Team"
-	headerPriority       = "Priority" // RFC 9218
-	maxKeyLength         = 128
+	headerIdempotencyKey = "Idempotency-Key" // the caller's id of the request, the same in each repeat
+	headerIdempotent     = "Sail-Idempotent" // yes or no; overrides what the method implies
+	headerTeam           = "Sail-Team"       // the team that the request counts for in fair queueing
+	headerPriority       = "Priority"        // RFC 9218
+	maxKeyLength         = 128               // most characters of an idempotency key
 )
 
-// request is a caller's request, checked and whole.
+// request is a caller's request, completely read and validated.
 type request struct {
 	relay.Request
-	team         string
-	priority     pool.Priority
-	deadline     time.Time
-	hasCallerKey bool // the key is the caller's own
+	team         string        // team that it counts for in fair queueing
+	priority     pool.Priority // priority in the queue for slots
+	deadline     time.Time     // when the caller stops waiting
+	hasCallerKey bool          // the key comes from the caller, not from this process
 }
 
-// parseRequest reads a request, or says what is wrong with it.
+// parseRequest reads and validates a request. The failure is nil if the request is valid.
 func (e *Entry) parseRequest(w http.ResponseWriter, r *http.Request, path string, s Service) (request, *Failure) {
 	q := request{team: r.Header.Get(headerTeam), priority: parsePriority(r.Header.Get(headerPriority))}
 	q.Method, q.Header = r.Method, r.Header
@@ -42,22 +42,22 @@
 	if r.URL.RawQuery != "" {
 		q.Path += "?" + r.URL.RawQuery
 	}
-	patience := s.Timeout
+	timeout := s.Timeout
 	if t := r.Header.Get(relay.HeaderTimeout); t != "" {
 		d, err := time.ParseDuration(t)
 		if err != nil || d <= 0 {
 			return q, &Failure{Code: CodeBadRequest, Text: fmt.Sprintf("%s: %q is not a duration above 0", relay.HeaderTimeout, t)}
 		}
-		patience = min(patience, d)
+		timeout = min(timeout, d)
 	}
-	q.deadline = time.Now().Add(patience)
+	q.deadline = time.Now().Add(timeout)
 	if f := q.parseIdempotency(r); f != nil {
 		return q, f
 	}
 	return q, e.readBody(w, r, &q)
 }
 
-// parseIdempotency decides whether the request is idempotent and finds its key.
+// parseIdempotency sets whether the request is idempotent, and its key: the caller's or a new one.
 func (q *request) parseIdempotency(r *http.Request) *Failure {
 	switch v := strings.ToLower(r.Header.Get(headerIdempotent)); v {
 	case "yes":
@@ -83,6 +83,7 @@
 	return nil
 }
 
+// isIdempotentMethod reports whether HTTP defines the method as idempotent.
 func isIdempotentMethod(m string) bool {
 	switch m {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete, http.MethodTrace:
@@ -91,7 +92,7 @@
 	return false
 }
 
-// parsePriority maps RFC 9218's urgency (u=0 to u=7, 3 when absent) to the queue's priorities.
+// parsePriority maps RFC 9218's urgency (u=0 to u=7, 3 when absent) to a priority in the queue.
 func parsePriority(h string) pool.Priority {
 	at := strings.Index(h, "u=")
 	if at < 0 || at+2 >= len(h) {
@@ -106,13 +107,14 @@
 	return pool.PriorityNormal
 }
 
+// readBody reads the request's body within the limits of size and time.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request, q *request) *Failure {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(e.opts.Limits.ReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.opts.Limits.MaxRequestBytes))
-	var big *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &big):
+	case errors.As(err, &tooLarge):
 		return &Failure{Code: CodeTooLarge, Text: fmt.Sprintf("a request has at most %d bytes", e.opts.Limits.MaxRequestBytes)}
 	case err != nil:
 		return &Failure{Code: CodeSlowRequest, Text: "the request did not arrive whole in time"}
@@ -122,7 +124,8 @@
 	return nil
 }
 
-// fingerprint identifies the content of a request, so that a key isn't taken for another's.
+// fingerprint returns a hash of the request's content. It guards against answering a request
+// that reuses a key with the answer of another request.
 func (q *request) fingerprint(service string) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{service, q.Method, q.Path} {
