--- a/internal/route/relay/doc.go
+++ b/internal/route/relay/doc.go
@@ -1,3 +1,3 @@
-// Package relay sends one request to one target and takes back its whole answer, or
-// says how far it got.
+// Package relay sends a request to a target and returns the target's whole answer, or an error
+// that says whether the request may have run.
 package relay
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -20,108 +20,112 @@
 )
 
 var (
-	// ErrNotSent says that nothing of the request left this process.
+	// ErrNotSent means that nothing of the request left this process.
 	ErrNotSent = errors.New("relay: not sent")
-	// ErrUnauthorized is the ErrNever of a process that might not use the target any more when
-	// the request was to be written.
-	ErrUnauthorized = errors.WithMessage(ErrNotSent, "relay: not lawful")
-	// ErrRefused says that the target refused the request before running it.
+	// ErrUnauthorized is an ErrNotSent: this process was no longer authorized to use the target
+	// when the request was to be written.
+	ErrUnauthorized = errors.WithMessage(ErrNotSent, "relay: not authorized")
+	// ErrRefused means that the target refused the request before running it.
 	ErrRefused = errors.New("relay: refused by the target")
-	// ErrAnswerLost says that no whole answer came back; the request may have run or be running.
+	// ErrAnswerLost means that no whole answer came; the request may have run or be running.
 	ErrAnswerLost = errors.New("relay: answer lost")
-	// ErrAnswerUnusable says that the answer can't be used: not this request's, cut short, too
-	// large or without a length. The request may have run.
+	// ErrAnswerUnusable means that the answer can't be used: it belongs to another request, is
+	// truncated, too large or without a length. The request may have run.
 	ErrAnswerUnusable = errors.New("relay: answer unusable")
 
-	errWriteRejected = errors.New("write held back")
+	// errWriteRejected is what a transport gets from a guardedConn for a write that isn't allowed.
+	errWriteRejected = errors.New("write rejected: not authorized, or the exchange has ended")
 )
 
-// Headers between this project, its callers and its targets.
+// Headers of requests and answers between callers, entry processes and targets.
 const (
-	HeaderOutcome   = "Sail-Outcome" // not-run, unknown or done
-	HeaderState     = "Sail-State"   // a target's own word: leaving
-	HeaderLoad      = "Sail-Load"    // a target's own count of the requests it has
-	HeaderKey       = "Sail-Key"     // the caller's request id, as targets see it
-	HeaderAttemptID = "X-Request-Id" // of one try; a target repeats it in its answer
-	HeaderTimeout   = "Sail-Timeout" // what is left of the caller's patience
+	HeaderOutcome   = "Sail-Outcome" // whether the request ran: not-run, unknown or done
+	HeaderState     = "Sail-State"   // leaving, when the target reports that it is leaving
+	HeaderLoad      = "Sail-Load"    // number of requests at the target, as it reports
+	HeaderKey       = "Sail-Key"     // the caller's key of the request, as passed to targets
+	HeaderAttemptID = "X-Request-Id" // id of one attempt, which the target returns in its answer
+	HeaderTimeout   = "Sail-Timeout" // time until the request's deadline
 
 	outcomeNotRun = "not-run"
 	stateLeaving  = "leaving"
 )
 
-// Request is what goes to a target.
+// Request is a request to a target.
 type Request struct {
-	ID         string // unique to this try
-	Key        string // the caller's id of the request
+	ID         string // id of the attempt, unique
+	Key        string // key of the request, the same in each attempt
 	Method     string
-	Path       string // with query
+	Path       string // with the query
 	Header     http.Header
 	Body       []byte
-	Idempotent bool
+	Idempotent bool // running it twice has the same effect as running it once
 }
 
-// Answer is a target's whole answer and what it said of itself.
+// Answer is a target's whole answer and the state that the target reports in its headers.
 type Answer struct {
 	Status  int
 	Header  http.Header
 	Body    []byte
-	Load    int // -1 when it didn't say
-	Leaving bool
+	Load    int  // number of requests at the target, or -1 if not reported
+	Leaving bool // whether the target is leaving
 }
 
-// Role says how a process uses a target; the number of connections depends on it.
+// Role is how a process uses a target; it determines the number of connections.
 type Role string
 
 // The roles.
 const (
-	RoleOwner    Role = "owner"
-	RoleBorrower Role = "borrower"
+	RoleOwner    Role = "owner"    // the process owns the target
+	RoleBorrower Role = "borrower" // the process borrows slots from the target's owner
 )
 
-// Relay keeps the connections to targets; New makes one.
+// Relay sends requests and keeps the connections to targets; New makes one.
 type Relay struct {
-	maxAnswerBytes int64       // bytes of an answer
-	authorized     func() bool // whether this process may still use what it was given
+	maxAnswerBytes int64       // largest body of an answer
+	authorized     func() bool // whether this process may still use the permits that it got
 
 	mu         sync.Mutex
 	transports map[transportKey]*http.Transport
 }
 
+// transportKey identifies a transport, which is the connections to one target.
 type transportKey struct {
 	addr  string
 	role  Role
-	conns int
+	conns int // most connections
 }
 
-// New returns a relay that takes answers of up to limit bytes and sends only while
-// lawful says so.
-func New(limit int64, lawful func() bool) *Relay {
-	return &Relay{maxAnswerBytes: limit, authorized: lawful, transports: map[transportKey]*http.Transport{}}
+// New returns a relay that accepts answers of up to maxAnswerBytes and sends only while
+// authorized returns true.
+func New(maxAnswerBytes int64, authorized func() bool) *Relay {
+	return &Relay{maxAnswerBytes: maxAnswerBytes, authorized: authorized, transports: map[transportKey]*http.Transport{}}
 }
 
-// guardedConn is a connection that asks for leave with each write.
+// guardedConn is a connection that checks the process's authorization before each write.
 //
-// It guards against a process that is paused after a request got its slot, for so long
-// that others take the target over, and wakes up: the request would be one more than
-// the target has slots. Asked before the exchange, leave would be old by the time of
-// the write; what is left is a pause inside the system call.
+// It guards against a process that is paused after a request got its slot, for so long that
+// other processes take the target over. When it resumes, its request would exceed the target's
+// slots. A check before the exchange could be outdated at the time of the write; only a pause
+// within the system call remains possible.
 type guardedConn struct {
 	net.Conn
-	authorized func() bool
-	attempt    atomic.Pointer[attempt] // whose request is written
+	authorized func() bool             // as in Relay
+	attempt    atomic.Pointer[attempt] // attempt whose request is written
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It writes nothing if the process is not authorized, or the attempt
+// has ended.
 func (g *guardedConn) Write(p []byte) (int, error) {
-	t := g.attempt.Load()
-	if t == nil || !t.beginWrite(g.authorized()) {
+	a := g.attempt.Load()
+	if a == nil || !a.beginWrite(g.authorized()) {
 		return 0, errWriteRejected
 	}
 	n, err := g.Conn.Write(p)
-	t.endWrite(n)
+	a.endWrite(n)
 	return n, err
 }
 
+// dial opens a guarded connection.
 func (r *Relay) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -131,10 +135,12 @@
 }
 
 const (
-	dialTimeout = time.Second
-	idleTimeout = 60 * time.Second
+	dialTimeout = time.Second      // bounds opening a connection
+	idleTimeout = 60 * time.Second // after which an unused connection is closed
 )
 
+// transport returns the transport to a target with the given role and number of connections. A
+// new one replaces that with another number of connections.
 func (r *Relay) transport(addr string, role Role, conns int) *http.Transport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,104 +182,105 @@
 	r.CloseConnsExcept(nil)
 }
 
-// attempt is the connection-level state of one exchange.
+// attempt is the connection-level state of one exchange with a target.
 type attempt struct {
-	conn atomic.Pointer[net.Conn]
+	conn atomic.Pointer[net.Conn] // the connection that the transport chose last
 
 	mu            sync.Mutex
-	pendingWrites int  // writes under way
-	anySent       bool // a byte has left, over whichever connection
-	unauthorized  bool // a write wasn't lawful any more
-	ended         bool // nothing more may be written
+	pendingWrites int  // number of writes under way
+	anySent       bool // a byte was written, over any connection
+	unauthorized  bool // a write was rejected, as the process wasn't authorized
+	ended         bool // no more writes are allowed
 }
 
-func (t *attempt) clientTrace() *httptrace.ClientTrace {
+// clientTrace returns the hook by which the attempt learns of its connection.
+func (a *attempt) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
-			t.conn.Store(&i.Conn)
+			a.conn.Store(&i.Conn)
 			if g, ok := i.Conn.(*guardedConn); ok {
-				g.attempt.Store(t)
+				g.attempt.Store(a)
 			}
 		},
 	}
 }
 
-// beginWrite precedes each write and reports whether it may happen.
-func (t *attempt) beginWrite(lawful bool) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// beginWrite is called before each write and reports whether it is allowed.
+func (a *attempt) beginWrite(authorized bool) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	switch {
-	case t.ended:
+	case a.ended:
 		return false
-	case !lawful:
-		t.unauthorized = true
+	case !authorized:
+		a.unauthorized = true
 		return false
 	}
-	t.pendingWrites++
+	a.pendingWrites++
 	return true
 }
 
-// endWrite follows each write that began.
-func (t *attempt) endWrite(n int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.pendingWrites--
-	t.anySent = t.anySent || n > 0
+// endWrite is called after each allowed write, of which n bytes were written.
+func (a *attempt) endWrite(n int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.pendingWrites--
+	a.anySent = a.anySent || n > 0
 }
 
-// endUnanswered ends an exchange that brought no answer and says what it has come to.
+// endUnanswered ends an exchange without an answer and returns an error that says whether
+// anything was sent.
 //
-// It stops later writes, as a transport may go on with the body after RoundTrip has
-// returned: what is told as not sent must stay so.
-func (t *attempt) endUnanswered() error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.ended = true
+// It also rejects all later writes: a transport may go on writing the body after RoundTrip has
+// returned, and a request that was reported as not sent must not be sent after all.
+func (a *attempt) endUnanswered() error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ended = true
 	switch {
-	case t.anySent || t.pendingWrites > 0:
+	case a.anySent || a.pendingWrites > 0:
 		return ErrAnswerLost
-	case t.unauthorized:
+	case a.unauthorized:
 		return ErrUnauthorized
 	}
 	return ErrNotSent
 }
 
-// closeConn closes the connection, so that whatever else comes over it reaches nobody.
-func (t *attempt) closeConn() {
-	if c := t.conn.Load(); c != nil {
+// closeConn closes the connection, so that no later request gets what still arrives over it.
+func (a *attempt) closeConn() {
+	if c := a.conn.Load(); c != nil {
 		_ = (*c).Close()
 	}
 }
 
-// Do sends the request to the target over at most conns connections. The error is one
-// of this package's; ctx bounds the exchange. Whatever the error, Answer carries what
-// the target said of itself.
+// Do sends the request to the target, to which it opens at most conns connections; ctx bounds
+// the exchange. Each error is one of this package's. Also with an error, the Answer's Load and
+// Leaving hold what the target reported.
 func (r *Relay) Do(ctx context.Context, addr string, role Role, conns int, q Request) (Answer, error) {
-	var t attempt
-	req, err := newHTTPRequest(httptrace.WithClientTrace(ctx, t.clientTrace()), addr, q)
+	var att attempt
+	req, err := newHTTPRequest(httptrace.WithClientTrace(ctx, att.clientTrace()), addr, q)
 	if err != nil {
 		return Answer{Load: -1}, errors.Wrap(ErrNotSent, err.Error())
 	}
 	resp, err := r.transport(addr, role, conns).RoundTrip(req)
 	if err != nil {
-		return Answer{Load: -1}, errors.Wrap(t.endUnanswered(), err.Error())
+		return Answer{Load: -1}, errors.Wrap(att.endUnanswered(), err.Error())
 	}
 	a, err := r.readAnswer(resp, q.ID)
 	// A refusal is a whole answer, after which the connection may already carry another
-	// request: closing it then would lose that one's answer.
+	// request. Closing it would lose the answer to that one.
 	if err != nil && !errors.Is(err, ErrRefused) {
-		t.closeConn()
+		att.closeConn()
 	}
 	_ = resp.Body.Close()
 	return a, err
 }
 
-// newHTTPRequest makes the HTTP request.
+// newHTTPRequest returns the HTTP request for q.
 //
-// A body that can't be had again, and a key under another name than the usual
-// Idempotency-Key, keep the transport from sending the request a second time by
-// itself when a connection breaks: it would do so for any request with that header,
-// and a check-in would run twice.
+// It prevents the transport from resending the request when a connection breaks, by a body that
+// can't be read again and a key in another header than the usual Idempotency-Key. The transport
+// resends any request with that header, so that a non-idempotent one would run twice.
 func newHTTPRequest(ctx context.Context, addr string, q Request) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, q.Method, "http://"+addr+q.Path, nil)
 	if err != nil {
@@ -301,39 +308,40 @@
 	return req, nil
 }
 
-// readAnswer takes the whole answer, or says why it can't be used.
+// readAnswer reads the whole answer to the attempt id. The error says why it can't be used.
 func (r *Relay) readAnswer(resp *http.Response, id string) (Answer, error) {
 	a := Answer{Status: resp.StatusCode, Header: resp.Header}
 	a.Load, a.Leaving = reportedStatus(resp.Header)
 	if got := resp.Header.Get(HeaderAttemptID); got != id {
-		// A late or crossed answer: it belongs to another request, whose caller must
-		// not see it here either.
-		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("it carries the id %q", got))
+		// The answer is late or crossed: it belongs to another request, so this request's
+		// caller must not get it.
+		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("answer has the attempt id %q", got))
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderOutcome) == outcomeNotRun {
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, r.maxAnswerBytes))
 		return a, ErrRefused
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Request.Method != http.MethodHead {
-		return a, errors.Wrap(ErrAnswerUnusable, "it has no length, so its end can't be told from a cut")
+		return a, errors.Wrap(ErrAnswerUnusable, "answer has no length, so a truncation can't be detected")
 	}
 	if resp.ContentLength > r.maxAnswerBytes {
-		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("it announces %d bytes, at most %d are taken", resp.ContentLength, r.maxAnswerBytes))
+		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("answer has %d bytes, the limit is %d", resp.ContentLength, r.maxAnswerBytes))
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, r.maxAnswerBytes+1))
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return a, errors.Wrap(ErrAnswerUnusable, "it was cut short")
+		return a, errors.Wrap(ErrAnswerUnusable, "answer is truncated")
 	case err != nil:
 		return a, errors.Wrap(ErrAnswerLost, err.Error())
 	case int64(len(body)) > r.maxAnswerBytes:
-		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("more than %d bytes", r.maxAnswerBytes))
+		return a, errors.Wrap(ErrAnswerUnusable, fmt.Sprintf("answer exceeds the limit of %d bytes", r.maxAnswerBytes))
 	}
 	a.Body = body
 	return a, nil
 }
 
-// Probe asks a target for its health and the number of requests it has, -1 if it doesn't say.
+// Probe calls a target's health check. It returns whether the target is healthy, the number of
+// requests at the target, -1 if not reported, and whether the target is leaving.
 func (r *Relay) Probe(ctx context.Context, addr string) (healthy bool, load int, leaving bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/healthz", nil)
 	if err != nil {
@@ -349,7 +357,8 @@
 	return resp.StatusCode == http.StatusOK, load, leaving
 }
 
-// reportedStatus reads what a target says of itself: its load, or -1, and whether it is leaving.
+// reportedStatus returns what a target reports in the headers of an answer: its load, or -1 if
+// not reported, and whether it is leaving.
 func reportedStatus(h http.Header) (load int, leaving bool) {
 	load, err := strconv.Atoi(h.Get(HeaderLoad))
 	if err != nil || load < 0 {
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -17,13 +17,13 @@
 
 func alwaysAuthorized() bool { return true }
 
-// A process is paused after a request got its slot and wakes up when others have the
-// target. Nothing of the request may leave it any more.
+// TestUnauthorized guards against a process that is paused after a request got its slot, and
+// resumes when another process owns the target. Nothing of the request may be sent any more.
 func TestUnauthorized(t *testing.T) {
 	target := faketarget.New(4, 0)
 	addr := startTarget(t, target)
-	lawful := true
-	r := New(1<<20, func() bool { return lawful })
+	authorized := true
+	r := New(1<<20, func() bool { return authorized })
 	defer r.Close()
 	send := func(key string) error {
 		_, err := r.Do(context.Background(), addr, RoleOwner, 4, Request{ID: key, Key: key, Method: http.MethodPost, Path: "/", Body: []byte(key)})
@@ -32,53 +32,53 @@
 	if err := send("before"); err != nil {
 		t.Fatal(err)
 	}
-	lawful = false
+	authorized = false
 	if err := send("after"); err == nil || target.Runs("after") != 0 {
-		t.Errorf("it was sent: %v, ran %d times", err, target.Runs("after"))
+		t.Errorf("the request was sent: error %v, ran %d times", err, target.Runs("after"))
 	}
 }
 
-// A process loses its right to a target between a request's slot and its writing, over a
-// new connection or a used one. Nothing has left it: the caller must not be told that the
-// request may have run.
+// TestUnauthorizedIsNotSent guards against reporting that a request may have run when the process
+// lost its authorization before the first write, so that nothing was sent. The connection may be
+// new or reused.
 func TestUnauthorizedIsNotSent(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		used bool
-		body []byte
+		name   string
+		reused bool
+		body   []byte
 	}{
 		{"new connection", false, []byte("x")},
-		{"used connection", true, []byte("x")},
-		{"used connection, no body", true, nil},
+		{"reused connection", true, []byte("x")},
+		{"reused connection, no body", true, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			target := faketarget.New(4, 0)
 			addr := startTarget(t, target)
-			lawful := true
-			r := New(1<<20, func() bool { return lawful })
+			authorized := true
+			r := New(1<<20, func() bool { return authorized })
 			defer r.Close()
 			send := func(key string) error {
 				_, err := r.Do(context.Background(), addr, RoleOwner, 1, Request{ID: key, Key: key, Method: http.MethodPost, Path: "/", Body: tc.body})
 				return err
 			}
-			if tc.used {
+			if tc.reused {
 				if err := send("before"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			lawful = false
+			authorized = false
 			if err := send("after"); !errors.Is(err, ErrUnauthorized) || !errors.Is(err, ErrNotSent) || errors.Is(err, ErrAnswerLost) {
-				t.Errorf("%v", err)
+				t.Errorf("got error %v, want ErrUnauthorized", err)
 			}
 			if n := target.Runs("after"); n != 0 {
-				t.Errorf("it ran %d times", n)
+				t.Errorf("the request ran %d times, want 0", n)
 			}
 		})
 	}
 }
 
-// A process loses its right to a target with half of a request written. The target may
-// have begun with it: it must not be told as not run.
+// TestPartlySentIsAnswerLost guards against reporting a request as not sent when the process lost
+// its authorization in the middle of writing it. The target may have begun to run it.
 func TestPartlySentIsAnswerLost(t *testing.T) {
 	addr := startTarget(t, faketarget.New(4, 0))
 	var writes atomic.Int32
@@ -87,15 +87,15 @@
 	_, err := r.Do(context.Background(), addr, RoleOwner, 1,
 		Request{ID: "1", Key: "1", Method: http.MethodPost, Path: "/", Body: make([]byte, 1<<20)})
 	if writes.Load() < 2 {
-		t.Fatal("the request went out in one write")
+		t.Fatal("the request was sent in one write")
 	}
 	if !errors.Is(err, ErrAnswerLost) || errors.Is(err, ErrNotSent) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrAnswerLost", err)
 	}
 }
 
-// A target closes a kept connection just before a request is written to it. Nothing has
-// left: the caller must not be told that the request may have run.
+// TestClosedBeforeWriteIsNotSent guards against reporting that a request may have run when the
+// target closed an idle connection just before the request was written, so that nothing was sent.
 func TestClosedBeforeWriteIsNotSent(t *testing.T) {
 	target := faketarget.New(4, 0)
 	addr := startTarget(t, target)
@@ -115,14 +115,14 @@
 	}
 	closed.Store(true)
 	if err := send("after"); !errors.Is(err, ErrNotSent) || errors.Is(err, ErrUnauthorized) || errors.Is(err, ErrAnswerLost) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrNotSent", err)
 	}
 	if n := target.Runs("after"); n != 0 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the request ran %d times, want 0", n)
 	}
 }
 
-// resetConn is a connection whose other side has closed it, once closed is set.
+// resetConn is a connection that the other side has closed, as soon as closed is set.
 type resetConn struct {
 	net.Conn
 	closed *atomic.Bool
@@ -135,6 +135,7 @@
 	return c.Conn.Write(p)
 }
 
+// startTarget serves a target until the test ends and returns its address.
 func startTarget(t *testing.T, target *faketarget.Target) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,10 +148,10 @@
 	return l.Addr().String()
 }
 
-// A target cuts a connection that was used before, after it has run a check-in without a
-// body. HTTP libraries take such a cut for an idle connection that was closed and send
-// the request again by themselves if it carries the usual idempotency header: the
-// bottle would be checked in twice and nobody would know.
+// TestTransportDoesNotResend guards against a non-idempotent request without a body that runs
+// twice unnoticed, because its target closed a reused connection after running it. An HTTP library
+// takes this for an idle connection that was closed, and resends a request that has the usual
+// idempotency header.
 func TestTransportDoesNotResend(t *testing.T) {
 	target := faketarget.New(4, 0)
 	addr := startTarget(t, target)
@@ -168,14 +169,15 @@
 	}
 	target.SetFault(faketarget.FaultDrop)
 	if err := send("2", "bottle"); !errors.Is(err, ErrAnswerLost) {
-		t.Errorf("a cut connection: %v", err)
+		t.Errorf("after the connection was closed: got error %v, want ErrAnswerLost", err)
 	}
 	if n := target.Runs("bottle"); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the request ran %d times, want 1", n)
 	}
 }
 
-// Nobody listens: that, and only that, is certainly not sent.
+// TestUnreachableIsNotSent guards against reporting that a request may have run when no process
+// listens at the target's address, so that nothing was sent.
 func TestUnreachableIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -186,12 +188,12 @@
 	r := New(1<<20, alwaysAuthorized)
 	defer r.Close()
 	if _, err := r.Do(context.Background(), addr, RoleOwner, 1, Request{ID: "1", Method: http.MethodPost, Path: "/"}); !errors.Is(err, ErrNotSent) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrNotSent", err)
 	}
 }
 
-// What is left of the caller's patience, the try's id and the caller's key go on to the
-// target; headers that end at a connection don't.
+// TestHeaders guards against a target that doesn't get the time until the deadline, the attempt id
+// or the caller's key, and against hop-by-hop headers that are passed on to it.
 func TestHeaders(t *testing.T) {
 	got := make(chan http.Header, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -205,24 +207,25 @@
 	defer r.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	a, err := r.Do(ctx, srv.Listener.Addr().String(), RoleOwner, 1, Request{ID: "try-1", Key: "bottle", Method: http.MethodPut, Path: "/x",
+	a, err := r.Do(ctx, srv.Listener.Addr().String(), RoleOwner, 1, Request{ID: "attempt-1", Key: "bottle", Method: http.MethodPut, Path: "/x",
 		Header: http.Header{"Te": {"trailers"}, "Idempotency-Key": {"bottle"}, "X-Mine": {"kept"}}})
 	if err != nil || a.Load != 3 || !a.Leaving {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("answer %+v, error %v", a, err)
 	}
 	h := <-got
 	left, err := time.ParseDuration(h.Get(HeaderTimeout))
 	if err != nil || left <= 0 || left > time.Minute {
 		t.Errorf("%s: %q", HeaderTimeout, h.Get(HeaderTimeout))
 	}
-	if h.Get(HeaderAttemptID) != "try-1" || h.Get(HeaderKey) != "bottle" || h.Get("X-Mine") != "kept" || h.Get("Te")+h.Get("Idempotency-Key") != "" {
-		t.Errorf("headers at the target: %v", h)
+	if h.Get(HeaderAttemptID) != "attempt-1" || h.Get(HeaderKey) != "bottle" || h.Get("X-Mine") != "kept" || h.Get("Te")+h.Get("Idempotency-Key") != "" {
+		t.Errorf("headers received by the target: %v", h)
 	}
 }
 
-// A caller is told that a check-in's outcome is unknown though the target had refused it. The
-// relay closes the connection after the refusal, which was whole, and the next request already
-// goes over it. So a refusal leaves the connection in use.
+// TestRefusedKeepsConnection guards against reporting an unknown outcome for a request that the
+// target refused. This happens when the relay closes the connection after a refusal, which is a
+// whole answer, while the next request already uses the connection. So a refusal must leave the
+// connection open.
 func TestRefusedKeepsConnection(t *testing.T) {
 	target := faketarget.New(4, 0)
 	target.SetFault(faketarget.FaultRefuse)
@@ -232,10 +235,10 @@
 	for i := range 20 {
 		_, err := r.Do(context.Background(), addr, RoleOwner, 1, Request{ID: "r", Key: "k", Method: http.MethodPost, Path: "/", Body: []byte("x")})
 		if !errors.Is(err, ErrRefused) {
-			t.Fatalf("refusal %d: %v", i, err)
+			t.Fatalf("request %d: got error %v, want ErrRefused", i, err)
 		}
 	}
 	if got := target.AcceptedConns(); got != 1 {
-		t.Errorf("%d connections made for 20 refusals, want 1", got)
+		t.Errorf("%d connections opened for 20 refused requests, want 1", got)
 	}
 }
