--- a/internal/route/entry/entry.go
+++ b/internal/route/entry/entry.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// isTransientStatus reports whether a status tells of a state of the target that others may not
-// be in.
+// isTransientStatus reports whether a status describes a state of the target that another target
+// may not be in.
 func isTransientStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
--- a/internal/route/once/registry.go
+++ b/internal/route/once/registry.go
@@ -79,6 +79,7 @@
 }
 
 const (
+	// retryInterval is the time between two attempts to begin a request or to pull records.
 	retryInterval = 20 * time.Millisecond
 	// maxBeginAttempts bounds how often a begin is repeated while views or homes change.
 	maxBeginAttempts = 50
