--- a/internal/batch/rack/bench_test.go
+++ b/internal/batch/rack/bench_test.go
@@ -10,7 +10,7 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// newBenchCore returns a core with fenced workers, and no tasks.
+// newBenchCore returns a core with fenced workers and no tasks.
 func newBenchCore(now time.Time, workers int) *Core {
 	c := New(now, Options{Rack: "r", Zone: "z", Epoch: 1, LeaseTTL: time.Minute, MaxConfigAge: time.Minute, BucketOf: func(string) string { return "b" }})
 	var addrs []string
@@ -25,48 +25,49 @@
 	return c
 }
 
+// benchTasks returns n tasks of one job.
 func benchTasks(n int) []jobs.Task {
-	var list []jobs.Task
+	var tasks []jobs.Task
 	for i := range n {
-		list = append(list, jobs.Task{Place: jobs.Placement{Job: "job", Index: i, No: uint64(i + 1)},
+		tasks = append(tasks, jobs.Task{Place: jobs.Placement{Job: "job", Index: i, No: uint64(i + 1)},
 			Spec: jobs.Spec{ID: "job", N: n, Size: wire.Size{CPU: 3000, Mem: 4000}, Run: time.Minute}})
 	}
-	return list
+	return tasks
 }
 
-// BenchmarkPlace measures placing 20 tasks a worker: decisions a second on one core and
-// bytes a task.
+// BenchmarkPlace measures how fast tasks are placed, in decisions per second on one CPU core, and the memory in
+// bytes per task, with 20 tasks per worker.
 func BenchmarkPlace(b *testing.B) {
 	for _, workers := range []int{8, 64, 500} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
 			tasks := benchTasks(20 * workers)
-			var spent time.Duration
+			var elapsed time.Duration
 			var before, after runtime.MemStats
 			for range b.N {
 				c := newBenchCore(now, workers)
 				c.HandleAnswer(now, "b", jobs.RackReply{OK: true})
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				began := time.Now()
+				start := time.Now()
 				c.HandleAnswer(now, "b", jobs.RackReply{OK: true, Run: tasks})
-				got := c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now})
-				spent += time.Since(began)
-				if len(got) < len(tasks) {
-					b.Fatalf("%d of %d were started", len(got), len(tasks))
+				actions := c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now})
+				elapsed += time.Since(start)
+				if len(actions) < len(tasks) {
+					b.Fatalf("%d of %d tasks were started", len(actions), len(tasks))
 				}
-				got = nil
+				actions = nil
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				runtime.KeepAlive(c)
 			}
-			b.ReportMetric(float64(b.N*len(tasks))/spent.Seconds(), "decisions/s")
+			b.ReportMetric(float64(b.N*len(tasks))/elapsed.Seconds(), "decisions/s")
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(tasks)), "B/task")
 		})
 	}
 }
 
-// BenchmarkTick measures a round with nothing to decide, 20 tasks running on each worker.
+// BenchmarkTick measures a tick and a report without anything to decide, with 20 running tasks per worker.
 func BenchmarkTick(b *testing.B) {
 	for _, workers := range []int{8, 64, 500} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/internal/batch/rack/commands.go
+++ b/internal/batch/rack/commands.go
@@ -7,32 +7,33 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// Action is a command that the adapter sends to a worker.
+// Action is a command that the Core's caller must send to a worker. The caller passes the result to the Core.
 type Action interface{ action() }
 
-// Fence asks to fence the worker; its result goes to Fenced.
+// Fence fences a worker with the holder's epoch. The result goes to HandleFenceResult.
 type Fence struct {
-	Addr string
+	Addr string // of the worker
 	Msg  wire.FenceRequest
 }
 
-// Renew asks to renew the worker's lease; its result goes to Renewed.
+// Renew renews a worker's lease. The result goes to HandleRenewResult.
 type Renew struct {
-	Addr string
+	Addr string // of the worker
 	Msg  wire.RenewRequest
 }
 
-// Start asks to start a task; its result goes to Started.
+// Start starts a task on a worker. The result goes to HandleStartResult.
 type Start struct {
-	Addr      string
-	Placement jobs.Placement
+	Addr      string         // of the worker
+	Placement jobs.Placement // of the task
 	Msg       wire.StartRequest
 }
 
-// TaskCommand asks to do something with a task; its result goes to Acted.
+// TaskCommand stops, checkpoints or forgets a task on its worker, or accepts its result. The result of the command
+// goes to HandleTaskCommandResult.
 type TaskCommand struct {
-	Addr      string
-	Placement jobs.Placement
+	Addr      string         // of the worker
+	Placement jobs.Placement // of the task
 	Msg       wire.TaskCommandRequest
 }
 
@@ -41,18 +42,18 @@
 func (Start) action()       {}
 func (TaskCommand) action() {}
 
-// CommandResult is a worker's answer to a command: a report, a refusal, or neither when no
-// answer came.
+// CommandResult is a worker's answer to a command: a report, a refusal, or neither if no answer came.
 type CommandResult struct {
-	Report   wire.Report
-	Refusal  wire.Refusal
-	NoAnswer bool
+	Report   wire.Report  // the worker's tasks after the command; valid if there is an answer and no refusal
+	Refusal  wire.Refusal // why the worker did not execute the command; empty: it did
+	NoAnswer bool         // no answer came: the worker may have executed the command, or may still do so
 }
 
+// ok reports whether the worker executed the command.
 func (r CommandResult) ok() bool { return !r.NoAnswer && r.Refusal == "" }
 
-// HandleFenceResult takes in the result of a fence. The inventory in it is what runs there: from
-// now on nobody else starts anything.
+// HandleFenceResult handles the result of a fence. The report in it lists all tasks on the worker, as from then on
+// no other holder can start any there.
 func (c *Core) HandleFenceResult(now time.Time, addr string, res CommandResult) {
 	w := c.workers[addr]
 	if w == nil {
@@ -71,8 +72,8 @@
 	}
 }
 
-// adoptRun takes over a task that a former holder, or this one before the worker lapsed,
-// started. When it was given back meanwhile, nothing of it counts any more.
+// adoptRun adds the run of a task that was found on a worker. A former holder started it, or this holder did
+// before the worker's lease expired. If the placement was returned meanwhile, nothing about the run counts any more.
 func (c *Core) adoptRun(w *worker, t wire.TaskReport) {
 	p, ok := jobs.ParsePlacement(t.ID)
 	if !ok {
@@ -87,7 +88,7 @@
 	c.applyTaskReport(w, r, t)
 }
 
-// HandleRenewResult takes in the result of a renewal.
+// HandleRenewResult handles the result of a renewal.
 func (c *Core) HandleRenewResult(now time.Time, addr string, res CommandResult) {
 	w := c.workers[addr]
 	if w == nil {
@@ -100,8 +101,8 @@
 	}
 }
 
-// HandleReport takes in a worker's lagging report. What it shows has happened; what it
-// doesn't show may have.
+// HandleReport handles a report that a worker gave without a command and that may be out of date. What it shows
+// has happened; what it doesn't show may have happened too.
 func (c *Core) HandleReport(addr string, rep wire.Report) {
 	if w := c.workers[addr]; w != nil && w.fenced {
 		w.lastAnswer = c.tickTime
@@ -109,6 +110,7 @@
 	}
 }
 
+// applyReport updates the worker's runs from its report.
 func (c *Core) applyReport(w *worker, rep wire.Report) {
 	for _, t := range rep.Tasks {
 		p, ok := jobs.ParsePlacement(t.ID)
@@ -118,8 +120,8 @@
 	}
 }
 
-// applyTaskReport takes in what a worker says of a task. A task only moves forward: a lagging
-// report doesn't make a finished one run again.
+// applyTaskReport updates a run from its worker's report. The state only moves forward: a report that is out of
+// date doesn't turn a finished run into a running one.
 func (c *Core) applyTaskReport(w *worker, r *run, t wire.TaskReport) {
 	if !r.occupiesResources() {
 		return
@@ -141,11 +143,10 @@
 	}
 }
 
-// HandleStartResult takes in the result of a start.
+// HandleStartResult handles the result of a start.
 //
-// It guards against a start whose answer was lost: it may have arrived, or arrive yet.
-// Until its time has passed the task keeps its place in the ledger and is started
-// nowhere else.
+// A start without an answer may have been executed or may still arrive. Until its deadline has passed, the run
+// keeps its resources and the task is started nowhere else.
 func (c *Core) HandleStartResult(now time.Time, p jobs.Placement, res CommandResult) {
 	r := c.runs[p]
 	if r == nil {
@@ -165,14 +166,14 @@
 			c.applyReport(w, res.Report)
 		}
 	case r.state == stateStarting && !r.startUnknown:
-		delete(c.runs, p) // it certainly isn't there; another worker may take it
+		delete(c.runs, p) // the task is certainly not on the worker; another worker may get it
 	case r.state == stateStarting && now.After(r.startDeadline.Add(expiryMargin)):
 		delete(c.runs, p)
 		c.returnPlacement(p, r.task.ResumeFrom)
 	}
 }
 
-// HandleTaskCommandResult takes in the result of an act.
+// HandleTaskCommandResult handles the result of a task command.
 func (c *Core) HandleTaskCommandResult(now time.Time, p jobs.Placement, verb wire.Verb, res CommandResult) {
 	r := c.runs[p]
 	if r == nil {
@@ -195,33 +196,34 @@
 	}
 }
 
-// HandleAnswer takes in a bucket's answer to a report.
-func (c *Core) HandleAnswer(now time.Time, bucket string, a jobs.RackReply) {
-	if !a.OK {
+// HandleAnswer handles a bucket's reply to a report. The tasks in it replace those that the bucket wanted before.
+// A task in the bucket's first reply that has no run may have been started by a former holder.
+func (c *Core) HandleAnswer(now time.Time, bucket string, reply jobs.RackReply) {
+	if !reply.OK {
 		return
 	}
-	for _, p := range a.Counts {
+	for _, p := range reply.Counts {
 		if r := c.runs[p]; r != nil && r.state == stateFinished {
 			r.mayAccept = true
 		}
 	}
-	for _, p := range a.Recorded {
+	for _, p := range reply.Recorded {
 		delete(c.returned, p)
 		delete(c.released, p)
 		if r := c.runs[p]; r != nil && (r.state == stateFinished || r.state == stateFailed) {
 			r.mayForget = true
 		}
 	}
-	for _, p := range a.Ended {
+	for _, p := range reply.Ended {
 		if c.runs[p] == nil {
 			c.returned[p] = 0
 		}
 	}
-	old, spoken := c.wanted[bucket]
-	next := make(map[jobs.Placement]wantedTask, len(a.Run))
-	for _, t := range a.Run {
+	old, answered := c.wanted[bucket]
+	next := make(map[jobs.Placement]wantedTask, len(reply.Run))
+	for _, t := range reply.Run {
 		c.maxPlacementNo[bucket] = max(c.maxPlacementNo[bucket], t.Place.No)
-		if _, back := c.returned[t.Place]; back {
+		if _, isReturned := c.returned[t.Place]; isReturned {
 			continue
 		}
 		w := wantedTask{t, now}
@@ -229,7 +231,7 @@
 			w.wantedSince = o.wantedSince
 		}
 		next[t.Place] = w
-		if !spoken && c.runs[t.Place] == nil {
+		if !answered && c.runs[t.Place] == nil {
 			c.possiblyStarted[t.Place] = true
 		}
 	}
@@ -241,8 +243,9 @@
 	}
 }
 
-// BuildReport returns what the bucket has to hear; with offer it names what is free.
-func (c *Core) BuildReport(bucket string, offer bool) jobs.RackReport {
+// BuildReport returns the report to a bucket: the ends of its placements that it hasn't recorded yet and, with
+// offerFree, the rack's free resources.
+func (c *Core) BuildReport(bucket string, offerFree bool) jobs.RackReport {
 	rep := jobs.RackReport{Rack: c.opts.Rack, Zone: c.opts.Zone, Ep: c.opts.Epoch, Usable: c.zoneStatus.Usable, Heard: c.maxPlacementNo[bucket], Back: map[jobs.Placement]time.Duration{}}
 	for _, r := range c.sortedRuns() {
 		if c.bucketOf(r.placement) != bucket {
@@ -265,32 +268,33 @@
 			rep.Released = append(rep.Released, p)
 		}
 	}
-	rep.Offer = c.buildOffer(offer)
+	rep.Offer = c.buildOffer(offerFree)
 	return rep
 }
 
-// buildOffer returns what is free less what already waits here.
-func (c *Core) buildOffer(free bool) jobs.Offer {
-	var o jobs.Offer
-	var left []wire.Size
-	for _, a := range c.workerInfos() {
-		size := a.worker.size
-		o.Max = wire.Size{CPU: max(o.Max.CPU, size.CPU), Mem: max(o.Max.Mem, size.Mem), Accel: max(o.Max.Accel, size.Accel)}
-		if a.acceptsTasks(c.tickTime) {
-			left = append(left, a.free)
+// buildOffer returns the largest size of a worker in each dimension and, with offerFree, the free resources of each
+// worker that accepts tasks, less those that the waiting tasks will occupy.
+func (c *Core) buildOffer(offerFree bool) jobs.Offer {
+	var offer jobs.Offer
+	var free []wire.Size
+	for _, info := range c.workerInfos() {
+		size := info.worker.size
+		offer.Max = wire.Size{CPU: max(offer.Max.CPU, size.CPU), Mem: max(offer.Max.Mem, size.Mem), Accel: max(offer.Max.Accel, size.Accel)}
+		if info.acceptsTasks(c.tickTime) {
+			free = append(free, info.free)
 		}
 	}
-	if !free {
-		return o
+	if !offerFree {
+		return offer
 	}
-	for _, wt := range c.waitingTasks() {
-		for i := range left {
-			if left[i].Covers(wt.task.Spec.Size) {
-				left[i] = left[i].Minus(wt.task.Spec.Size)
+	for _, w := range c.waitingTasks() {
+		for i := range free {
+			if free[i].Covers(w.task.Spec.Size) {
+				free[i] = free[i].Minus(w.task.Spec.Size)
 				break
 			}
 		}
 	}
-	o.Free = left
-	return o
+	offer.Free = free
+	return offer
 }
--- a/internal/batch/rack/core_test.go
+++ b/internal/batch/rack/core_test.go
@@ -10,97 +10,97 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// harness is one worker and a clock, for tests that deliver each message by hand.
+// harness is one fake worker and a clock, for tests that deliver each message themselves.
 type harness struct {
 	now       time.Time
-	startTime time.Time
+	startTime time.Time // when the worker's own clock was 0
 	worker    *fakeworker.Worker
 }
 
 func newHarness() *harness {
-	b := &harness{now: time.Unix(1000, 0), startTime: time.Unix(1000, 0)}
-	b.worker = fakeworker.NewAt(workerSize, 0, func() wire.WorkerTime { return wire.WorkerTime(b.now.Sub(b.startTime)) })
-	return b
+	h := &harness{now: time.Unix(1000, 0), startTime: time.Unix(1000, 0)}
+	h.worker = fakeworker.NewAt(workerSize, 0, func() wire.WorkerTime { return wire.WorkerTime(h.now.Sub(h.startTime)) })
+	return h
 }
 
-// newHolder returns a core that has fenced and renewed the worker and heard its bucket.
-func (b *harness) newHolder(ep uint64) *Core {
-	c := New(b.now, Options{Rack: "r", Zone: "z", Epoch: ep, LeaseTTL: testLeaseTTL, MaxConfigAge: testMaxConfigAge, BucketOf: func(string) string { return "b" }})
+// newHolder returns a core that has fenced and renewed the worker and has a reply from its bucket.
+func (h *harness) newHolder(epoch uint64) *Core {
+	c := New(h.now, Options{Rack: "r", Zone: "z", Epoch: epoch, LeaseTTL: testLeaseTTL, MaxConfigAge: testMaxConfigAge, BucketOf: func(string) string { return "b" }})
 	c.SetWorkers([]string{"w"})
-	b.deliver(c, b.tick(c))
-	b.deliver(c, b.tick(c))
-	c.HandleAnswer(b.now, "b", jobs.RackReply{OK: true})
+	h.deliver(c, h.tick(c))
+	h.deliver(c, h.tick(c))
+	c.HandleAnswer(h.now, "b", jobs.RackReply{OK: true})
 	return c
 }
 
-func (b *harness) tick(c *Core) []Action {
-	return c.Tick(b.now, ZoneStatus{Usable: true, ConfirmedAt: b.now})
+func (h *harness) tick(c *Core) []Action {
+	return c.Tick(h.now, ZoneStatus{Usable: true, ConfirmedAt: h.now})
 }
 
-// deliver carries the actions out and hands the results back.
-func (b *harness) deliver(c *Core, actions []Action) (refused []wire.Refusal) {
+// deliver carries out the actions and passes the results to the core.
+func (h *harness) deliver(c *Core, actions []Action) (refused []wire.Refusal) {
 	for _, a := range actions {
-		var no wire.Refusal
+		var refusal wire.Refusal
 		var rep wire.Report
 		switch a := a.(type) {
 		case Fence:
-			rep, no = b.worker.Fence(a.Msg)
-			c.HandleFenceResult(b.now, a.Addr, CommandResult{Report: rep, Refusal: no})
+			rep, refusal = h.worker.Fence(a.Msg)
+			c.HandleFenceResult(h.now, a.Addr, CommandResult{Report: rep, Refusal: refusal})
 		case Renew:
-			rep, no = b.worker.Renew(a.Msg)
-			c.HandleRenewResult(b.now, a.Addr, CommandResult{Report: rep, Refusal: no})
+			rep, refusal = h.worker.Renew(a.Msg)
+			c.HandleRenewResult(h.now, a.Addr, CommandResult{Report: rep, Refusal: refusal})
 		case Start:
-			rep, no = b.worker.Start(a.Msg)
-			c.HandleStartResult(b.now, a.Placement, CommandResult{Report: rep, Refusal: no})
+			rep, refusal = h.worker.Start(a.Msg)
+			c.HandleStartResult(h.now, a.Placement, CommandResult{Report: rep, Refusal: refusal})
 		case TaskCommand:
-			rep, no = b.worker.Act(a.Msg)
-			c.HandleTaskCommandResult(b.now, a.Placement, a.Msg.Verb, CommandResult{Report: rep, Refusal: no})
+			rep, refusal = h.worker.Act(a.Msg)
+			c.HandleTaskCommandResult(h.now, a.Placement, a.Msg.Verb, CommandResult{Report: rep, Refusal: refusal})
 		}
-		if no != "" {
-			refused = append(refused, no)
+		if refusal != "" {
+			refused = append(refused, refusal)
 		}
 	}
 	return refused
 }
 
-// wantTask makes the bucket wantTask one task here.
-func (b *harness) wantTask(c *Core) jobs.Placement {
+// wantTask passes the core a reply in which the bucket wants one task.
+func (h *harness) wantTask(c *Core) jobs.Placement {
 	p := jobs.Placement{Job: "audit", Index: 0, No: 1}
-	c.HandleAnswer(b.now, "b", jobs.RackReply{OK: true, Run: []jobs.Task{{Place: p,
+	c.HandleAnswer(h.now, "b", jobs.RackReply{OK: true, Run: []jobs.Task{{Place: p,
 		Spec: jobs.Spec{ID: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: time.Hour}}}})
 	return p
 }
 
-// A holder is paused between deciding a start and sending it, loses the rack, and wakes
-// up within the start's time. A user would see the audit run twice: there, and where
-// the new holder has had it placed since. The worker must refuse the older epoch.
+// A holder is paused between emitting a start and sending it, loses the rack, and resumes before the start's
+// deadline. The task would run twice: on this worker, and where it was placed after the new holder took over. The
+// worker must refuse the older epoch.
 func TestFormerHolderStartRefused(t *testing.T) {
-	b := newHarness()
-	old := b.newHolder(1)
-	b.wantTask(old)
-	late := b.tick(old)
-	b.newHolder(2)
-	if refused := b.deliver(old, late); len(refused) != 1 || refused[0] != wire.RefusalEpochMismatch || len(b.worker.RunningTasks()) > 0 {
-		t.Errorf("a former holder's start: refused %v, runs %v", refused, b.worker.RunningTasks())
+	h := newHarness()
+	old := h.newHolder(1)
+	h.wantTask(old)
+	late := h.tick(old)
+	h.newHolder(2)
+	if refused := h.deliver(old, late); len(refused) != 1 || refused[0] != wire.RefusalEpochMismatch || len(h.worker.RunningTasks()) > 0 {
+		t.Errorf("a former holder's start: refused %v, runs %v", refused, h.worker.RunningTasks())
 	}
 }
 
-// A renewal is held up on its way for longer than the lease. The holder has given the
-// worker up by then and its task runs elsewhere; the renewal must not revive it.
+// A renewal is delayed for longer than the lease. By then the holder has treated the lease as expired, and the task
+// runs elsewhere; the renewal must not make it run on this worker again.
 func TestLateRenewal(t *testing.T) {
-	b := newHarness()
-	c := b.newHolder(1)
-	b.wantTask(c)
-	b.deliver(c, b.tick(c))
-	if len(b.worker.RunningTasks()) != 1 {
+	h := newHarness()
+	c := h.newHolder(1)
+	h.wantTask(c)
+	h.deliver(c, h.tick(c))
+	if len(h.worker.RunningTasks()) != 1 {
 		t.Fatal("the task doesn't run")
 	}
-	b.now = b.now.Add(testLeaseTTL / 2)
-	b.deliver(c, b.tick(c))
-	renewed := b.now
-	b.now = b.now.Add(testLeaseTTL / 6)
+	h.now = h.now.Add(testLeaseTTL / 2)
+	h.deliver(c, h.tick(c))
+	renewedAt := h.now
+	h.now = h.now.Add(testLeaseTTL / 6)
 	var late []Renew
-	for _, a := range b.tick(c) {
+	for _, a := range h.tick(c) {
 		if r, ok := a.(Renew); ok {
 			late = append(late, r)
 		}
@@ -108,80 +108,80 @@
 	if len(late) != 1 {
 		t.Fatalf("%d renewals", len(late))
 	}
-	decided := b.now
-	b.now = renewed.Add(testLeaseTTL - time.Millisecond) // the lease before is about to end
-	if _, no := b.worker.Renew(late[0].Msg); no != "" {
-		t.Fatal(no)
+	emittedAt := h.now
+	h.now = renewedAt.Add(testLeaseTTL - time.Millisecond) // the previous lease is about to expire
+	if _, refusal := h.worker.Renew(late[0].Msg); refusal != "" {
+		t.Fatal(refusal)
 	}
-	b.now = decided.Add(testLeaseTTL + time.Millisecond)
-	if len(b.worker.RunningTasks()) > 0 {
-		t.Error("a late renewal keeps the task running after its lease, as the holder reckons it")
+	h.now = emittedAt.Add(testLeaseTTL + time.Millisecond)
+	if len(h.worker.RunningTasks()) > 0 {
+		t.Error("after a late renewal the task runs on past the lease expiry that the holder has computed")
 	}
 }
 
-// A worker falls silent while it runs a task: for good, or so that commands reach it and
-// only the answers are lost. The task must go back to its bucket, or it would never be
-// finished, but not before the worker has certainly stopped it.
+// A worker stops answering while it runs a task: it is dead, or commands reach it and only the answers are lost.
+// The placement must be returned to its bucket, or the task would never be finished, but not before the worker has
+// certainly stopped the task.
 func TestSilentWorker(t *testing.T) {
 	for _, reached := range []bool{false, true} {
-		b := newHarness()
-		c := b.newHolder(1)
-		p := b.wantTask(c)
-		b.deliver(c, b.tick(c))
-		back := false
+		h := newHarness()
+		c := h.newHolder(1)
+		p := h.wantTask(c)
+		h.deliver(c, h.tick(c))
+		returned := false
 		for range 300 {
-			b.now = b.now.Add(100 * time.Millisecond)
-			for _, a := range b.tick(c) {
+			h.now = h.now.Add(100 * time.Millisecond)
+			for _, a := range h.tick(c) {
 				switch a := a.(type) {
 				case Renew:
 					if reached {
-						_, _ = b.worker.Renew(a.Msg)
+						_, _ = h.worker.Renew(a.Msg)
 					}
-					c.HandleRenewResult(b.now, a.Addr, CommandResult{NoAnswer: true})
+					c.HandleRenewResult(h.now, a.Addr, CommandResult{NoAnswer: true})
 				case Fence:
-					c.HandleFenceResult(b.now, a.Addr, CommandResult{NoAnswer: true})
+					c.HandleFenceResult(h.now, a.Addr, CommandResult{NoAnswer: true})
 				}
 			}
-			if _, back = c.BuildReport("b", false).Back[p]; back {
+			if _, returned = c.BuildReport("b", false).Back[p]; returned {
 				break
 			}
 		}
-		if !back {
-			t.Errorf("reached %t: never given back", reached)
+		if !returned {
+			t.Errorf("reached %t: placement not returned", reached)
 		}
-		if back && len(b.worker.RunningTasks()) > 0 {
-			t.Errorf("reached %t: given back after %s while it runs", reached, b.now.Sub(b.startTime))
+		if returned && len(h.worker.RunningTasks()) > 0 {
+			t.Errorf("reached %t: placement returned after %s while the task runs", reached, h.now.Sub(h.startTime))
 		}
 	}
 }
 
-// The store has been silent: operators may have taken the domain out since. Nothing new
-// may start, and a start that was decided in time but arrives late must be refused.
+// The store has not answered for some time, so operators may have evacuated the failure domain without this
+// process knowing. No task may start, and a start that was emitted in time but arrives late must be refused.
 func TestStaleConfiguration(t *testing.T) {
-	b := newHarness()
-	c := b.newHolder(1)
-	b.wantTask(c)
-	confirmed := b.now
-	b.now = b.now.Add(testMaxConfigAge)
-	actions := c.Tick(b.now, ZoneStatus{Usable: true, ConfirmedAt: confirmed})
+	h := newHarness()
+	c := h.newHolder(1)
+	h.wantTask(c)
+	confirmedAt := h.now
+	h.now = h.now.Add(testMaxConfigAge)
+	actions := c.Tick(h.now, ZoneStatus{Usable: true, ConfirmedAt: confirmedAt})
 	for _, a := range actions {
 		if _, ok := a.(Start); ok {
-			t.Error("a task is started by a configuration that isn't confirmed any more")
+			t.Error("a task is started with a configuration whose last confirmation is too old")
 		}
 	}
-	b.deliver(c, actions)
-	late := b.tick(c)
-	b.now = b.now.Add(testMaxConfigAge + time.Millisecond)
-	if refused := b.deliver(c, late); len(refused) != 1 || refused[0] != wire.RefusalDeadlinePassed {
+	h.deliver(c, actions)
+	late := h.tick(c)
+	h.now = h.now.Add(testMaxConfigAge + time.Millisecond)
+	if refused := h.deliver(c, late); len(refused) != 1 || refused[0] != wire.RefusalDeadlinePassed {
 		t.Errorf("a start that arrives too late: refused %v", refused)
 	}
 }
 
-// A rack offers its room again before it has heard what the last offer was used for. Used
-// twice, the room would have tasks waiting for it that other racks could start at once.
+// A rack offers its free resources again before it has been told what the previous offer was used for. If they
+// were used twice, tasks would wait on this rack that other racks could start at once.
 func TestOfferUsedOnce(t *testing.T) {
-	b := newHarness()
-	c := b.newHolder(1)
+	h := newHarness()
+	c := h.newHolder(1)
 	bucket := jobs.New(jobs.Bucket{}, 1)
 	write := func() {
 		if _, err := bucket.BeginWrite("id"); err != nil {
@@ -190,32 +190,32 @@
 		bucket.EndWrite(true)
 	}
 	write()
-	if err := bucket.Submit(b.now, jobs.Spec{ID: "audit", Kind: "audit", N: 3, Size: workerSize, Run: time.Minute}); err != nil {
+	if err := bucket.Submit(h.now, jobs.Spec{ID: "audit", Kind: "audit", N: 3, Size: workerSize, Run: time.Minute}); err != nil {
 		t.Fatal(err)
 	}
 	write()
 	exchange := func(when string, waiting int, rep jobs.RackReport) {
 		t.Helper()
-		a := bucket.HandleReport(b.now, rep, func(string) bool { return true })
+		a := bucket.HandleReport(h.now, rep, func(string) bool { return true })
 		if n, _ := bucket.CountWaiting(); n != waiting {
-			t.Errorf("%s: %d tasks wait, not %d", when, n, waiting)
+			t.Errorf("%s: %d tasks wait, want %d", when, n, waiting)
 		}
-		c.HandleAnswer(b.now, "b", a)
+		c.HandleAnswer(h.now, "b", a)
 	}
 	exchange("at the first offer", 2, c.BuildReport("b", true))
-	exchange("before the store holds the placement", 2, c.BuildReport("b", true))
+	exchange("before the store has the placement", 2, c.BuildReport("b", true))
 	late := c.BuildReport("b", true)
 	write()
-	exchange("as the store holds it, before the rack has heard", 2, late)
+	exchange("after the store has it, before the rack knows", 2, late)
 	exchange("while the task waits for its start", 2, c.BuildReport("b", true))
-	b.deliver(c, b.tick(c))
+	h.deliver(c, h.tick(c))
 	exchange("while the task runs", 2, c.BuildReport("b", true))
-	if len(b.worker.RunningTasks()) != 1 {
-		t.Fatalf("running: %v", b.worker.RunningTasks())
+	if len(h.worker.RunningTasks()) != 1 {
+		t.Fatalf("running: %v", h.worker.RunningTasks())
 	}
-	for end := b.now.Add(time.Minute); !b.now.After(end); b.now = b.now.Add(testLeaseTTL / 4) {
-		b.deliver(c, b.tick(c))
+	for end := h.now.Add(time.Minute); !h.now.After(end); h.now = h.now.Add(testLeaseTTL / 4) {
+		h.deliver(c, h.tick(c))
 	}
-	c.HandleReport("w", b.worker.Report())
+	c.HandleReport("w", h.worker.Report())
 	exchange("after its end", 1, c.BuildReport("b", true))
 }
--- a/internal/batch/rack/faults_test.go
+++ b/internal/batch/rack/faults_test.go
@@ -12,41 +12,41 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// The seed is fixed so that every run gives the same verdict.
+// The seed is fixed so that every run has the same result.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.shrinktime", "5s")
 }
 
-// Holders of racks and of the bucket die, messages are lost or come after a pause,
-// workers are cut off for longer than their lease, failure domains go out and come
-// back, jobs are cancelled. A user must never see a photo book go out twice, a task on
-// two workers, one lost, or one started where operators said no.
+// Holders of racks and of the bucket die, messages are lost or delayed, workers are unreachable for longer than
+// their lease, failure domains are evacuated and brought back, and jobs are cancelled. No result may be published
+// twice, no task may run on two workers or be lost, and none may start in an evacuated failure domain.
 func TestExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"))
+		sim := newSimulation(rapid.Uint64().Draw(t, "seed"))
 		specs := drawJobSpecs(t)
-		w.faultsEnabled = rapid.Bool().Draw(t, "mess")
+		sim.faultsEnabled = rapid.Bool().Draw(t, "faults enabled")
 		submitted := map[string]jobs.Spec{}
 		for _, s := range specs {
 			submitted[s.ID] = s
-			w.submitUntilStored(s)
+			sim.submitUntilStored(s)
 		}
-		cancelled := drawFaults(t, w, specs)
-		w.runFor(40 * time.Second)
-		w.endFaults()
-		w.runFor(5 * time.Minute)
-		if w.violation != "" {
-			t.Fatal(w.violation)
+		cancelled := drawFaults(t, sim, specs)
+		sim.runFor(40 * time.Second)
+		sim.endFaults()
+		sim.runFor(5 * time.Minute)
+		if sim.violation != "" {
+			t.Fatal(sim.violation)
 		}
-		accepts := w.acceptedResults()
+		published := sim.acceptedResults()
 		for id, s := range submitted {
-			checkJobEnd(t, w, s, cancelled[id], accepts)
+			checkJobEnd(t, sim, s, cancelled[id], published)
 		}
 	})
 }
 
+// drawJobSpecs draws the jobs to submit.
 func drawJobSpecs(t *rapid.T) []jobs.Spec {
 	var specs []jobs.Spec
 	for i := range rapid.IntRange(1, 4).Draw(t, "jobs") {
@@ -59,137 +59,141 @@
 	return specs
 }
 
-func drawFaults(t *rapid.T, w *simulation, specs []jobs.Spec) map[string]bool {
+// drawFaults draws and schedules faults, evacuations and a cancellation. It returns the ids of cancelled jobs.
+func drawFaults(t *rapid.T, sim *simulation, specs []jobs.Spec) map[string]bool {
 	at := func(what string) time.Duration {
 		return time.Duration(rapid.IntRange(500, 35000).Draw(t, what)) * time.Millisecond
 	}
-	for range rapid.IntRange(0, 4).Draw(t, "deaths") {
+	for range rapid.IntRange(0, 4).Draw(t, "rack holder deaths") {
 		rack := fmt.Sprintf("r%d", rapid.IntRange(0, rackCount-1).Draw(t, "rack"))
-		w.AfterFunc(at("death"), func() { w.killRackHolder(rack) })
+		sim.AfterFunc(at("rack holder death"), func() { sim.killRackHolder(rack) })
 	}
-	for range rapid.IntRange(0, 3).Draw(t, "bucket deaths") {
-		w.AfterFunc(at("bucket death"), w.killBucketHolder)
+	for range rapid.IntRange(0, 3).Draw(t, "bucket holder deaths") {
+		sim.AfterFunc(at("bucket holder death"), sim.killBucketHolder)
 	}
-	for range rapid.IntRange(0, 2).Draw(t, "cuts") {
+	for range rapid.IntRange(0, 2).Draw(t, "unreachable workers") {
 		addr := fmt.Sprintf("r%d/w%d", rapid.IntRange(0, rackCount-1).Draw(t, "rack"), rapid.IntRange(0, workersPerRack-1).Draw(t, "worker"))
-		w.AfterFunc(at("cut"), func() { w.unreachable[addr] = true })
-		w.AfterFunc(at("mended"), func() { delete(w.unreachable, addr) })
+		sim.AfterFunc(at("unreachable"), func() { sim.unreachable[addr] = true })
+		sim.AfterFunc(at("reachable again"), func() { delete(sim.unreachable, addr) })
 	}
-	for range rapid.IntRange(0, 2).Draw(t, "moves") {
+	for range rapid.IntRange(0, 2).Draw(t, "evacuations") {
 		zone := fmt.Sprintf("zr%d", rapid.IntRange(0, rackCount-1).Draw(t, "zone"))
-		w.AfterFunc(at("out"), func() { w.evacuatedSince[zone] = w.Now() })
-		w.AfterFunc(at("back"), func() { delete(w.evacuatedSince, zone) })
+		sim.AfterFunc(at("evacuated"), func() { sim.evacuatedSince[zone] = sim.Now() })
+		sim.AfterFunc(at("back in use"), func() { delete(sim.evacuatedSince, zone) })
 	}
 	cancelled := map[string]bool{}
 	if rapid.Bool().Draw(t, "cancel") {
 		id := specs[0].ID
 		cancelled[id] = true
-		w.AfterFunc(at("cancelled"), func() { _ = w.bucketHolder.core.Cancel(w.Now(), id) })
+		sim.AfterFunc(at("cancelled"), func() { _ = sim.bucketHolder.core.Cancel(sim.Now(), id) })
 	}
 	return cancelled
 }
 
-// submitUntilStored brings a job in again and again until the store holds it, as its user would.
-func (w *simulation) submitUntilStored(s jobs.Spec) {
-	if w.storedJob(s.ID) != nil {
+// submitUntilStored submits a job repeatedly until the store has it, as its user would.
+func (sim *simulation) submitUntilStored(s jobs.Spec) {
+	if sim.storedJob(s.ID) != nil {
 		return
 	}
-	if b := w.bucketHolder; b != nil && !b.dead {
-		if err := b.core.Submit(w.Now(), s); err != nil {
-			w.recordViolation("submission: %v", err)
+	if holder := sim.bucketHolder; holder != nil && !holder.dead {
+		if err := holder.core.Submit(sim.Now(), s); err != nil {
+			sim.recordViolation("submission: %v", err)
 		}
 	}
-	w.AfterFunc(stepInterval, func() { w.submitUntilStored(s) })
+	sim.AfterFunc(stepInterval, func() { sim.submitUntilStored(s) })
 }
 
-// killRackHolder ends a rack's holder; another follows when its lease has lapsed.
-func (w *simulation) killRackHolder(rack string) {
-	h := w.rackHolders[rack]
-	if h.dead {
+// killRackHolder ends a rack's holder; another takes over up to 7 s later, when its lease has expired.
+func (sim *simulation) killRackHolder(rack string) {
+	holder := sim.rackHolders[rack]
+	if holder.dead {
 		return
 	}
-	h.dead = true
-	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.startRackHolder(rack, h.epoch+1) })
+	holder.dead = true
+	sim.AfterFunc(time.Duration(sim.rand.IntN(7000))*time.Millisecond, func() { sim.startRackHolder(rack, holder.epoch+1) })
 }
 
-func (w *simulation) killBucketHolder() {
-	b := w.bucketHolder
-	if b.dead {
+// killBucketHolder does the same to the bucket's holder.
+func (sim *simulation) killBucketHolder() {
+	holder := sim.bucketHolder
+	if holder.dead {
 		return
 	}
-	b.dead = true
-	w.AfterFunc(time.Duration(w.rand.IntN(7000))*time.Millisecond, func() { w.startBucketHolder(b.epoch + 1) })
+	holder.dead = true
+	sim.AfterFunc(time.Duration(sim.rand.IntN(7000))*time.Millisecond, func() { sim.startBucketHolder(holder.epoch + 1) })
 }
 
-// endFaults ends all faults.
-func (w *simulation) endFaults() {
-	w.faultsEnabled = false
-	clear(w.unreachable)
-	clear(w.evacuatedSince)
+// endFaults makes messages reliable, all workers reachable and all failure domains usable.
+func (sim *simulation) endFaults() {
+	sim.faultsEnabled = false
+	clear(sim.unreachable)
+	clear(sim.evacuatedSince)
 }
 
-func checkJobEnd(t *rapid.T, w *simulation, s jobs.Spec, cancelled bool, accepts map[string]int) {
-	j := w.storedJob(s.ID)
-	if j == nil {
+// checkJobEnd checks that a job has ended, that each result was published exactly once if its task is recorded as
+// finished and never otherwise, and that no placement is left.
+func checkJobEnd(t *rapid.T, sim *simulation, s jobs.Spec, cancelled bool, published map[string]int) {
+	job := sim.storedJob(s.ID)
+	if job == nil {
 		t.Fatalf("job %s is lost", s.ID)
 	}
-	if !cancelled && j.State != jobs.StateDone {
-		t.Fatalf("job %s is %s %s, %d of %d done, placed %v", s.ID, j.State, j.Why, j.Done.Count(), s.N, j.Place)
+	if !cancelled && job.State != jobs.StateDone {
+		t.Fatalf("job %s is %s %s, %d of %d done, placed %v", s.ID, job.State, job.Why, job.Done.Count(), s.N, job.Place)
 	}
 	for i := range s.N {
 		task := fmt.Sprintf("%s/%d", s.ID, i)
 		want := 0
-		if j.Done.Test(uint(i)) {
+		if job.Done.Test(uint(i)) {
 			want = 1
 		}
-		if accepts[task] != want {
-			t.Fatalf("task %s: recorded as finished %d times, its result went out %d times", task, want, accepts[task])
+		if published[task] != want {
+			t.Fatalf("task %s: recorded as finished %d times, its result was published %d times", task, want, published[task])
 		}
 	}
-	if len(j.Place) > 0 {
-		t.Fatalf("job %s is %s and still has placements %v", s.ID, j.State, j.Place)
+	if len(job.Place) > 0 {
+		t.Fatalf("job %s is %s and still has placements %v", s.ID, job.State, job.Place)
 	}
 }
 
-// A task is evicted because its failure domain goes out. It must go on elsewhere from
-// its checkpoint, not from its beginning.
+// A task is evicted because its failure domain is evacuated. It must resume elsewhere from its checkpoint, not from
+// the beginning.
 func TestEvictionResumesFromCheckpoint(t *testing.T) {
-	w := newSimulation(1)
-	w.submitUntilStored(jobs.Spec{ID: "audit", Kind: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: 20 * time.Second})
-	w.runFor(12 * time.Second)
+	sim := newSimulation(1)
+	sim.submitUntilStored(jobs.Spec{ID: "audit", Kind: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: 20 * time.Second})
+	sim.runFor(12 * time.Second)
 	for i := range rackCount {
 		zone := fmt.Sprintf("zr%d", i)
 		for j := range workersPerRack {
-			if len(w.workers[fmt.Sprintf("r%d/w%d", i, j)].RunningTasks()) > 0 {
-				w.evacuatedSince[zone] = w.Now()
+			if len(sim.workers[fmt.Sprintf("r%d/w%d", i, j)].RunningTasks()) > 0 {
+				sim.evacuatedSince[zone] = sim.Now()
 			}
 		}
 	}
-	if len(w.evacuatedSince) != 1 {
-		t.Fatalf("the task runs in %d failure domains", len(w.evacuatedSince))
+	if len(sim.evacuatedSince) != 1 {
+		t.Fatalf("the task runs in %d failure domains", len(sim.evacuatedSince))
 	}
-	w.runFor(13 * time.Second)
-	if j := w.storedJob("audit"); w.violation != "" || j.State != jobs.StateDone {
-		t.Errorf("%s; after 25 s of a task of 20 s it is %s", w.violation, j.State)
+	sim.runFor(13 * time.Second)
+	if j := sim.storedJob("audit"); sim.violation != "" || j.State != jobs.StateDone {
+		t.Errorf("%s; after 25 s of a task of 20 s it is %s", sim.violation, j.State)
 	}
 }
 
-// A worker fails everything at once, so it is always free. It must rest after a few
-// failures, and no job may be parked for its sake.
+// A worker fails every task at once, so it always has free resources. It must get a cooldown after a few failures,
+// and no job may be parked because of it.
 func TestFailingWorkerCooldown(t *testing.T) {
-	w := newSimulation(1)
-	w.workers["r0/w0"].SetFailing(true)
-	w.submitUntilStored(jobs.Spec{ID: "books", Kind: "photo", N: 60, Size: wire.Size{CPU: 500, Mem: 500}, Run: 2 * time.Second})
-	w.runFor(2 * time.Minute)
-	failed := 0
-	for id := range 200 {
+	sim := newSimulation(1)
+	sim.workers["r0/w0"].SetFailing(true)
+	sim.submitUntilStored(jobs.Spec{ID: "books", Kind: "photo", N: 60, Size: wire.Size{CPU: 500, Mem: 500}, Run: 2 * time.Second})
+	sim.runFor(2 * time.Minute)
+	starts := 0
+	for index := range 200 {
 		for no := range 400 {
-			failed += w.workers["r0/w0"].Starts(fmt.Sprintf("books/%d@%d", id, no))
+			starts += sim.workers["r0/w0"].Starts(fmt.Sprintf("books/%d@%d", index, no))
 		}
 	}
-	j := w.storedJob("books")
-	if w.violation != "" || j.State != jobs.StateDone {
-		t.Errorf("%s; job %s %s, %d done", w.violation, j.State, j.Why, j.Done.Count())
+	j := sim.storedJob("books")
+	if sim.violation != "" || j.State != jobs.StateDone {
+		t.Errorf("%s; job %s %s, %d done", sim.violation, j.State, j.Why, j.Done.Count())
 	}
-	t.Logf("%d of 60 tasks were started on the bad worker", failed)
+	t.Logf("%d of 60 tasks were started on the failing worker", starts)
 }
--- a/internal/batch/rack/simulation_test.go
+++ b/internal/batch/rack/simulation_test.go
@@ -14,342 +14,353 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// simulation runs the real cores of racks and of one bucket over stand-in workers in
-// virtual time. Messages are delayed, lost, or held back for as long as a paused
-// process would; holders die and others follow with a higher epoch.
+// simulation runs the real cores of racks and of one bucket with stand-ins for workers in virtual time. Messages
+// are lost or delayed, some for as long as a process may be paused. Holders die, and others take over with a higher
+// epoch.
 type simulation struct {
 	event.Queue
 	startTime      time.Time
 	rand           *rand.Rand
-	faultsEnabled  bool // faults happen
-	workers        map[string]*fakeworker.Worker
-	unreachable    map[string]bool // workers that nobody reaches
-	rackHolders    map[string]*rackHolding
-	bucketHolder   *bucketHolding
-	storedRecord   []byte // the bucket's record, with its revision
-	storedRev      int
-	evacuatedSince map[string]time.Time // failure domains that are out, since when
-	violation      string               // the first promise that was broken
-	finalStates    map[string]jobs.State
-	refusals       map[wire.Refusal]int
+	faultsEnabled  bool                          // messages are lost and delayed
+	workers        map[string]*fakeworker.Worker // by address
+	unreachable    map[string]bool               // addresses of workers that no message reaches
+	rackHolders    map[string]*rackHolding       // the current or last holder of each rack
+	bucketHolder   *bucketHolding                // the current or last holder of the bucket
+	storedRecord   []byte                        // the bucket's record in the store
+	storedRev      int                           // its revision
+	evacuatedSince map[string]time.Time          // by evacuated failure domain
+	violation      string                        // the first broken invariant
+	finalStates    map[string]jobs.State         // of the jobs that have ended, as recorded first
+	refusals       map[wire.Refusal]int          // number of refused commands by reason; "" counts the others
 }
 
+// rackHolding is a process's hold on a rack.
 type rackHolding struct {
 	core        *Core
 	rack        string
 	epoch       uint64
-	dead        bool
-	reportCount int
+	dead        bool // the process has died
+	reportCount int  // reports sent to the bucket
 }
 
+// bucketHolding is a process's hold on the bucket.
 type bucketHolding struct {
 	core          *jobs.Core
 	epoch         uint64
-	readRev       int
-	dead          bool
-	writeInFlight bool
+	readRev       int  // revision of the record that it last read or wrote
+	dead          bool // the process has died, or another process has written the record
+	writeInFlight bool // a write has no known outcome yet
 }
 
 const (
 	testLeaseTTL     = 6 * time.Second
 	testMaxConfigAge = 3 * time.Second
-	stepInterval     = 200 * time.Millisecond
+	stepInterval     = 200 * time.Millisecond // of ticks, reports and writes
 	rackCount        = 2
 	workersPerRack   = 2
 )
 
+// workerSize is the size of each worker.
 var workerSize = wire.Size{CPU: 4000, Mem: 8000, Accel: 1}
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		Queue: event.New(time.Unix(1000, 0)), startTime: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, 3)),
 		workers: map[string]*fakeworker.Worker{}, unreachable: map[string]bool{}, rackHolders: map[string]*rackHolding{},
 		evacuatedSince: map[string]time.Time{}, finalStates: map[string]jobs.State{}, refusals: map[wire.Refusal]int{},
 	}
-	clock := func() wire.WorkerTime { return wire.WorkerTime(w.Now().Sub(w.startTime)) }
+	clock := func() wire.WorkerTime { return wire.WorkerTime(sim.Now().Sub(sim.startTime)) }
 	for r := range rackCount {
 		for i := range workersPerRack {
-			w.workers[fmt.Sprintf("r%d/w%d", r, i)] = fakeworker.NewAt(workerSize, 300*time.Millisecond, clock)
+			sim.workers[fmt.Sprintf("r%d/w%d", r, i)] = fakeworker.NewAt(workerSize, 300*time.Millisecond, clock)
 		}
-		w.startRackHolder(fmt.Sprintf("r%d", r), 1)
+		sim.startRackHolder(fmt.Sprintf("r%d", r), 1)
 	}
-	w.startBucketHolder(1)
-	return w
+	sim.startBucketHolder(1)
+	return sim
 }
 
-// runFor lets a span of time pass, or ends it at the first broken promise.
-func (w *simulation) runFor(d time.Duration) {
-	until := w.Now().Add(d)
-	for w.violation == "" && w.RunNext(until) {
-		w.checkRunningTasks()
+// runFor runs the simulation for a duration, or up to the first violation.
+func (sim *simulation) runFor(d time.Duration) {
+	until := sim.Now().Add(d)
+	for sim.violation == "" && sim.RunNext(until) {
+		sim.checkRunningTasks()
 	}
-	w.RunUntil(until)
+	sim.RunUntil(until)
 }
 
-// messageDelay is how long a message takes; ok is false when it's lost.
-func (w *simulation) messageDelay() (d time.Duration, ok bool) {
-	d = time.Duration(1+w.rand.IntN(20)) * time.Millisecond
-	if !w.faultsEnabled {
+// messageDelay draws how long a message takes; ok is false if it is lost.
+func (sim *simulation) messageDelay() (d time.Duration, ok bool) {
+	d = time.Duration(1+sim.rand.IntN(20)) * time.Millisecond
+	if !sim.faultsEnabled {
 		return d, true
 	}
-	switch n := w.rand.IntN(100); {
+	switch n := sim.rand.IntN(100); {
 	case n < 4:
 		return 0, false
 	case n < 7:
-		// The sender or the network stands still with the message decided but not delivered.
-		return time.Duration(w.rand.IntN(15000)) * time.Millisecond, true
+		// The sender or the network stalls before the message is delivered.
+		return time.Duration(sim.rand.IntN(15000)) * time.Millisecond, true
 	}
 	return d, true
 }
 
+// callTimeout is how long a call waits for its answer.
 const callTimeout = 500 * time.Millisecond
 
-// call delivers a request and its answer; lost runs when none came in time.
-func (w *simulation) call(request func(), answered, lost func()) {
-	there, ok := w.messageDelay()
-	back, ok2 := w.messageDelay()
-	if ok {
-		w.AfterFunc(there, request)
+// call delivers a request and its answer. If no answer arrives within callTimeout, it calls onNoAnswer.
+func (sim *simulation) call(request func(), onAnswer, onNoAnswer func()) {
+	requestDelay, requestOK := sim.messageDelay()
+	answerDelay, answerOK := sim.messageDelay()
+	if requestOK {
+		sim.AfterFunc(requestDelay, request)
 	}
-	if ok && ok2 && there+back < callTimeout {
-		w.AfterFunc(there+back, answered)
+	if requestOK && answerOK && requestDelay+answerDelay < callTimeout {
+		sim.AfterFunc(requestDelay+answerDelay, onAnswer)
 		return
 	}
-	w.AfterFunc(callTimeout, lost)
+	sim.AfterFunc(callTimeout, onNoAnswer)
 }
 
-// startRackHolder gives a rack to a new holder.
-func (w *simulation) startRackHolder(rack string, ep uint64) {
-	h := &rackHolding{rack: rack, epoch: ep, core: New(w.Now(), Options{Rack: rack, Zone: "z" + rack, Epoch: ep, LeaseTTL: testLeaseTTL, MaxConfigAge: testMaxConfigAge,
+// startRackHolder starts a new holder of a rack.
+func (sim *simulation) startRackHolder(rack string, epoch uint64) {
+	h := &rackHolding{rack: rack, epoch: epoch, core: New(sim.Now(), Options{Rack: rack, Zone: "z" + rack, Epoch: epoch, LeaseTTL: testLeaseTTL, MaxConfigAge: testMaxConfigAge,
 		BucketOf: func(string) string { return "b" }})}
-	w.rackHolders[rack] = h
+	sim.rackHolders[rack] = h
 	var tick func()
 	tick = func() {
 		if h.dead {
 			return
 		}
-		w.tickRack(h)
-		w.AfterFunc(stepInterval, tick)
+		sim.tickRack(h)
+		sim.AfterFunc(stepInterval, tick)
 	}
-	w.AfterFunc(stepInterval, tick)
+	sim.AfterFunc(stepInterval, tick)
 	var sync func()
 	sync = func() {
 		if h.dead {
 			return
 		}
-		w.exchangeReport(h, sync)
+		sim.exchangeReport(h, sync)
 	}
-	w.AfterFunc(stepInterval, sync)
+	sim.AfterFunc(stepInterval, sync)
 }
 
-func (w *simulation) tickRack(h *rackHolding) {
+// tickRack ticks a rack's core, executes its actions and passes it the workers' reports.
+func (sim *simulation) tickRack(h *rackHolding) {
 	var addrs []string
 	for i := range workersPerRack {
 		addrs = append(addrs, fmt.Sprintf("%s/w%d", h.rack, i))
 	}
 	h.core.SetWorkers(addrs)
-	_, out := w.evacuatedSince[h.core.Zone()]
-	for _, a := range h.core.Tick(w.Now(), ZoneStatus{Usable: !out, ConfirmedAt: w.Now()}) {
-		w.execute(h, a)
+	_, evacuated := sim.evacuatedSince[h.core.Zone()]
+	for _, a := range h.core.Tick(sim.Now(), ZoneStatus{Usable: !evacuated, ConfirmedAt: sim.Now()}) {
+		sim.execute(h, a)
 	}
 	for _, a := range addrs {
-		if !w.unreachable[a] {
-			h.core.HandleReport(a, w.workers[a].Report())
+		if !sim.unreachable[a] {
+			h.core.HandleReport(a, sim.workers[a].Report())
 		}
 	}
 }
 
-func (w *simulation) execute(h *rackHolding, a Action) {
+// execute sends an action to its worker and passes the result to the core.
+func (sim *simulation) execute(h *rackHolding, a Action) {
 	switch a := a.(type) {
 	case Fence:
-		w.sendCommand(h, a.Addr, func(k *fakeworker.Worker) (wire.Report, wire.Refusal) { return k.Fence(a.Msg) },
-			func(res CommandResult) { h.core.HandleFenceResult(w.Now(), a.Addr, res) })
+		sim.sendCommand(h, a.Addr, func(worker *fakeworker.Worker) (wire.Report, wire.Refusal) { return worker.Fence(a.Msg) },
+			func(res CommandResult) { h.core.HandleFenceResult(sim.Now(), a.Addr, res) })
 	case Renew:
-		w.sendCommand(h, a.Addr, func(k *fakeworker.Worker) (wire.Report, wire.Refusal) { return k.Renew(a.Msg) },
-			func(res CommandResult) { h.core.HandleRenewResult(w.Now(), a.Addr, res) })
+		sim.sendCommand(h, a.Addr, func(worker *fakeworker.Worker) (wire.Report, wire.Refusal) { return worker.Renew(a.Msg) },
+			func(res CommandResult) { h.core.HandleRenewResult(sim.Now(), a.Addr, res) })
 	case Start:
-		w.sendCommand(h, a.Addr, func(k *fakeworker.Worker) (wire.Report, wire.Refusal) {
-			before := k.Starts(a.Msg.Task.ID)
-			rep, no := k.Start(a.Msg)
-			if k.Starts(a.Msg.Task.ID) > before {
-				w.checkStart(h.core.Zone(), a.Msg.Task.ID)
+		sim.sendCommand(h, a.Addr, func(worker *fakeworker.Worker) (wire.Report, wire.Refusal) {
+			before := worker.Starts(a.Msg.Task.ID)
+			rep, refusal := worker.Start(a.Msg)
+			if worker.Starts(a.Msg.Task.ID) > before {
+				sim.checkStart(h.core.Zone(), a.Msg.Task.ID)
 			}
-			return rep, no
-		}, func(res CommandResult) { h.core.HandleStartResult(w.Now(), a.Placement, res) })
+			return rep, refusal
+		}, func(res CommandResult) { h.core.HandleStartResult(sim.Now(), a.Placement, res) })
 	case TaskCommand:
-		w.sendCommand(h, a.Addr, func(k *fakeworker.Worker) (wire.Report, wire.Refusal) { return k.Act(a.Msg) },
-			func(res CommandResult) { h.core.HandleTaskCommandResult(w.Now(), a.Placement, a.Msg.Verb, res) })
+		sim.sendCommand(h, a.Addr, func(worker *fakeworker.Worker) (wire.Report, wire.Refusal) { return worker.Act(a.Msg) },
+			func(res CommandResult) { h.core.HandleTaskCommandResult(sim.Now(), a.Placement, a.Msg.Verb, res) })
 	}
 }
 
-// checkStart checks that no task starts where operators said no.
-func (w *simulation) checkStart(zone, id string) {
-	if since, out := w.evacuatedSince[zone]; out && w.Now().Sub(since) > testMaxConfigAge {
-		w.recordViolation("%s started in %s, %s after it was taken out", id, zone, w.Now().Sub(since))
+// checkStart checks that no task starts in a failure domain that was evacuated more than testMaxConfigAge ago.
+func (sim *simulation) checkStart(zone, id string) {
+	if since, evacuated := sim.evacuatedSince[zone]; evacuated && sim.Now().Sub(since) > testMaxConfigAge {
+		sim.recordViolation("%s started in %s, %s after its evacuation", id, zone, sim.Now().Sub(since))
 	}
 }
 
-func (w *simulation) sendCommand(h *rackHolding, addr string, do func(*fakeworker.Worker) (wire.Report, wire.Refusal), done func(CommandResult)) {
+// sendCommand delivers a command to a worker by send and its result to the holder by handle.
+func (sim *simulation) sendCommand(h *rackHolding, addr string, send func(*fakeworker.Worker) (wire.Report, wire.Refusal), handle func(CommandResult)) {
 	res := CommandResult{NoAnswer: true}
-	w.call(func() {
-		if w.unreachable[addr] {
+	sim.call(func() {
+		if sim.unreachable[addr] {
 			return
 		}
-		rep, no := do(w.workers[addr])
-		w.refusals[no]++
-		res = CommandResult{Report: rep, Refusal: no}
+		rep, refusal := send(sim.workers[addr])
+		sim.refusals[refusal]++
+		res = CommandResult{Report: rep, Refusal: refusal}
 	}, func() {
 		if !h.dead {
-			done(res)
+			handle(res)
 		}
 	}, func() {
 		if !h.dead {
-			done(CommandResult{NoAnswer: true})
+			handle(CommandResult{NoAnswer: true})
 		}
 	})
 }
 
-// exchangeReport exchanges a rack's report for the bucket's answer, then does so again.
-func (w *simulation) exchangeReport(h *rackHolding, again func()) {
+// exchangeReport sends a rack's report to the bucket's holder and passes the reply to the rack's core, then calls
+// again.
+func (sim *simulation) exchangeReport(h *rackHolding, again func()) {
 	h.reportCount++
 	rep := h.core.BuildReport("b", true)
-	var a jobs.RackReply
-	w.call(func() {
-		if b := w.bucketHolder; b != nil && !b.dead {
-			a = b.core.HandleReport(w.Now(), rep, func(string) bool {
-				_, out := w.evacuatedSince[rep.Zone]
-				return !out
+	var reply jobs.RackReply
+	sim.call(func() {
+		if holder := sim.bucketHolder; holder != nil && !holder.dead {
+			reply = holder.core.HandleReport(sim.Now(), rep, func(string) bool {
+				_, evacuated := sim.evacuatedSince[rep.Zone]
+				return !evacuated
 			})
 		}
 	}, func() {
 		if !h.dead {
-			h.core.HandleAnswer(w.Now(), "b", a)
-			w.AfterFunc(stepInterval, again)
+			h.core.HandleAnswer(sim.Now(), "b", reply)
+			sim.AfterFunc(stepInterval, again)
 		}
-	}, func() { w.AfterFunc(stepInterval, again) })
+	}, func() { sim.AfterFunc(stepInterval, again) })
 }
 
-// startBucketHolder gives the bucket to a new holder, which reads the record.
-func (w *simulation) startBucketHolder(ep uint64) {
+// startBucketHolder starts a new holder of the bucket, which reads the record.
+func (sim *simulation) startBucketHolder(epoch uint64) {
 	var rec jobs.Bucket
-	if w.storedRecord != nil {
-		if err := json.Unmarshal(w.storedRecord, &rec); err != nil {
-			w.recordViolation("record: %v", err)
+	if sim.storedRecord != nil {
+		if err := json.Unmarshal(sim.storedRecord, &rec); err != nil {
+			sim.recordViolation("record: %v", err)
 		}
 	}
-	b := &bucketHolding{core: jobs.New(rec, ep), epoch: ep, readRev: w.storedRev}
-	w.bucketHolder = b
+	h := &bucketHolding{core: jobs.New(rec, epoch), epoch: epoch, readRev: sim.storedRev}
+	sim.bucketHolder = h
 	var commit func()
 	commit = func() {
-		if b.dead {
+		if h.dead {
 			return
 		}
-		w.commitRecord(b)
-		w.AfterFunc(stepInterval, commit)
+		sim.commitRecord(h)
+		sim.AfterFunc(stepInterval, commit)
 	}
-	w.AfterFunc(stepInterval, commit)
+	sim.AfterFunc(stepInterval, commit)
 }
 
-// commitRecord writes the record; an answer that is lost is settled by reading back.
-func (w *simulation) commitRecord(b *bucketHolding) {
-	if b.writeInFlight || !b.core.NeedsWrite() {
+// commitRecord writes the record. If the answer is lost, the record is read back and the write repeated if needed.
+func (sim *simulation) commitRecord(h *bucketHolding) {
+	if h.writeInFlight || !h.core.NeedsWrite() {
 		return
 	}
-	value, err := b.core.BeginWrite(fmt.Sprint(w.Seq()))
+	value, err := h.core.BeginWrite(fmt.Sprint(sim.Seq()))
 	if err != nil {
-		w.recordViolation("record: %v", err)
+		sim.recordViolation("record: %v", err)
 		return
 	}
-	b.writeInFlight = true
-	from := b.readRev
+	h.writeInFlight = true
+	expectedRev := h.readRev
 	write := func() {
-		if w.storedRev == from {
-			w.storedRecord, w.storedRev = value, w.storedRev+1
-			w.checkFinalStates()
+		if sim.storedRev == expectedRev {
+			sim.storedRecord, sim.storedRev = value, sim.storedRev+1
+			sim.checkFinalStates()
 		}
 	}
-	var settle func()
-	settle = func() {
-		if b.dead {
+	var resolve func()
+	resolve = func() {
+		if h.dead {
 			return
 		}
-		if string(w.storedRecord) == string(value) {
-			b.readRev, b.writeInFlight = w.storedRev, false
-			b.core.EndWrite(true)
+		if string(sim.storedRecord) == string(value) {
+			h.readRev, h.writeInFlight = sim.storedRev, false
+			h.core.EndWrite(true)
 			return
 		}
-		if w.storedRev != from {
-			w.restartBucketHolder(b)
+		if sim.storedRev != expectedRev {
+			sim.restartBucketHolder(h)
 			return
 		}
-		w.call(write, settle, settle)
+		sim.call(write, resolve, resolve)
 	}
-	w.call(write, settle, settle)
+	sim.call(write, resolve, resolve)
 }
 
-// restartBucketHolder reads the record anew after another has written it.
-func (w *simulation) restartBucketHolder(b *bucketHolding) {
-	if w.bucketHolder == b {
-		b.dead = true
-		w.startBucketHolder(b.epoch + 1)
+// restartBucketHolder replaces a holder after another process has written the record, so that the record is read
+// again.
+func (sim *simulation) restartBucketHolder(h *bucketHolding) {
+	if sim.bucketHolder == h {
+		h.dead = true
+		sim.startBucketHolder(h.epoch + 1)
 	}
 }
 
-// checkFinalStates checks that a final state stays.
-func (w *simulation) checkFinalStates() {
+// checkFinalStates checks that no final state in the record has changed.
+func (sim *simulation) checkFinalStates() {
 	var rec jobs.Bucket
-	if json.Unmarshal(w.storedRecord, &rec) != nil {
+	if json.Unmarshal(sim.storedRecord, &rec) != nil {
 		return
 	}
-	for id, j := range rec.Jobs {
-		if old := w.finalStates[id]; old != "" && old != j.State {
-			w.recordViolation("job %s was %s and is %s", id, old, j.State)
+	for id, job := range rec.Jobs {
+		if old := sim.finalStates[id]; old != "" && old != job.State {
+			sim.recordViolation("job %s was %s and is %s", id, old, job.State)
 		}
-		if j.State != jobs.StateOpen {
-			w.finalStates[id] = j.State
+		if job.State != jobs.StateOpen {
+			sim.finalStates[id] = job.State
 		}
 	}
 }
 
-func (w *simulation) recordViolation(format string, args ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf("%s: ", w.Now().Sub(w.startTime)) + fmt.Sprintf(format, args...)
+// recordViolation records a violation with the time since the start, unless there was one before.
+func (sim *simulation) recordViolation(format string, args ...any) {
+	if sim.violation == "" {
+		sim.violation = fmt.Sprintf("%s: ", sim.Now().Sub(sim.startTime)) + fmt.Sprintf(format, args...)
 	}
 }
 
-// checkRunningTasks holds the promises against what the workers do now.
-func (w *simulation) checkRunningTasks() {
-	where := map[string]string{}
-	for addr, k := range w.workers {
-		for _, id := range k.RunningTasks() {
+// checkRunningTasks checks that no task runs twice at this time, and that no worker has refused a start for lack of
+// resources.
+func (sim *simulation) checkRunningTasks() {
+	runsOn := map[string]string{}
+	for addr, worker := range sim.workers {
+		for _, id := range worker.RunningTasks() {
 			task, _, _ := strings.Cut(id, "@")
-			if other, twice := where[task]; twice {
-				w.recordViolation("%s runs on %s and as %s on %s", task, other, id, addr)
+			if other, alreadyRuns := runsOn[task]; alreadyRuns {
+				sim.recordViolation("%s runs on %s and as %s on %s", task, other, id, addr)
 			}
-			where[task] = addr
+			runsOn[task] = addr
 		}
 	}
-	if n := w.refusals[wire.RefusalNoCapacity]; n > 0 {
-		w.recordViolation("%d starts were refused for want of room", n)
+	if n := sim.refusals[wire.RefusalNoCapacity]; n > 0 {
+		sim.recordViolation("%d starts were refused for lack of resources", n)
 	}
 }
 
-// acceptedResults counts the results let out, by task.
-func (w *simulation) acceptedResults() map[string]int {
-	sum := map[string]int{}
-	for _, k := range w.workers {
-		for id, n := range k.AcceptedResults() {
+// acceptedResults returns how often the result of each task was published.
+func (sim *simulation) acceptedResults() map[string]int {
+	count := map[string]int{}
+	for _, worker := range sim.workers {
+		for id, n := range worker.AcceptedResults() {
 			task, _, _ := strings.Cut(id, "@")
-			sum[task] += n
+			count[task] += n
 		}
 	}
-	return sum
+	return count
 }
 
-// storedJob returns a storedJob as the store holds it.
-func (w *simulation) storedJob(id string) *jobs.Job {
+// storedJob returns a job as the store has it, or nil.
+func (sim *simulation) storedJob(id string) *jobs.Job {
 	var rec jobs.Bucket
-	if w.storedRecord == nil || json.Unmarshal(w.storedRecord, &rec) != nil {
+	if sim.storedRecord == nil || json.Unmarshal(sim.storedRecord, &rec) != nil {
 		return nil
 	}
 	return rec.Jobs[id]
--- a/internal/batch/rack/worker.go
+++ b/internal/batch/rack/worker.go
@@ -6,45 +6,42 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// worker is one worker as its rack's holder knows it.
+// worker is what the rack's holder knows about one worker.
 type worker struct {
-	addr              string
-	size              wire.Size
-	fenced            bool
-	leaseCallInFlight bool // a fence or renewal is under way
-	lastLeaseCall     time.Time
-	// clockReading was the worker's own time when an answer came in at heard.
-	clockReading wire.WorkerTime
-	clockReadAt  time.Time
-	// lastAnswer is when it last answered anything, a lagging report included.
-	lastAnswer time.Time
-	// leaseExpiry is when its tasks have certainly stopped unless it is renewed again.
-	leaseExpiry time.Time
-	// consecutiveFailures counts failures in a row, of different jobs; from tired on it rests.
-	consecutiveFailures int
-	cooldownUntil       time.Time
+	addr                string
+	size                wire.Size       // all its resources, as last reported
+	fenced              bool            // it has accepted this holder's epoch, and its lease has not expired since
+	leaseCallInFlight   bool            // a fence or renewal has no answer yet
+	lastLeaseCall       time.Time       // when the last fence or renewal was emitted; zero if the next one is due at once
+	clockReading        wire.WorkerTime // its own time in the last answer to a command
+	clockReadAt         time.Time       // local time at which that answer arrived
+	lastAnswer          time.Time       // when it last gave a report, even one that may be out of date
+	leaseExpiry         time.Time       // when its tasks have certainly stopped unless its lease is renewed
+	consecutiveFailures int             // tasks that failed in a row, of whichever jobs
+	cooldownUntil       time.Time       // it gets no new task before this time
 }
 
-// clockAt returns the worker's own time clockAt a local time after heard, or a little earlier:
-// the answer that carried the clock was under way for a while before it was heard.
+// clockAt returns the worker's own time at a local time after clockReadAt, or a slightly earlier one, as the answer
+// with the clock reading took some time to arrive.
 //
-// Commands carry moments reckoned by this, so that one which is late, because this
-// process or the network stood still after it was decided, is refused or changes nothing.
+// Commands carry times computed by clockAt, so that one that is late, because this process or the network stalled
+// after the command was emitted, is refused or changes nothing.
 func (w *worker) clockAt(local time.Time) wire.WorkerTime {
 	return w.clockReading + wire.WorkerTime(local.Sub(w.clockReadAt))
 }
 
+// recordReport records the clock and size in an answer to a command.
 func (w *worker) recordReport(now time.Time, r wire.Report) {
 	w.clockReading, w.clockReadAt, w.lastAnswer, w.size = r.Now, now, now, r.Size
 }
 
 const (
-	maxConsecutiveFailures = 5                // failures in a row that make a worker rest
-	failureCooldown        = 10 * time.Second // after which one task is tried there
+	maxConsecutiveFailures = 5                // failures in a row that start a cooldown
+	failureCooldown        = 10 * time.Second // after it the worker gets one task at a time
 )
 
-// recordFailure notes a task that recordFailure on the worker; a worker on which everything fails is
-// always free and would draw all work to itself.
+// recordFailure counts a task that failed on the worker and starts a cooldown after too many in a row. Otherwise a
+// worker on which every task fails would always have free resources and attract all tasks.
 func (w *worker) recordFailure(now time.Time) {
 	w.consecutiveFailures++
 	if w.consecutiveFailures >= maxConsecutiveFailures {
@@ -52,6 +49,7 @@
 	}
 }
 
+// resetFailures ends the count of failures and any cooldown after a task has finished on the worker.
 func (w *worker) resetFailures() {
 	w.consecutiveFailures, w.cooldownUntil = 0, time.Time{}
 }
