--- a/internal/ctrl/shard/assigner.go
+++ b/internal/ctrl/shard/assigner.go
@@ -18,219 +18,226 @@
 )
 
 const (
-	keyPrefix     = "assign/"
-	checkInterval = 250 * time.Millisecond
-	// rankDelay is how long each member in the order of the table's homes leaves the
-	// planning to the one before it, so that one write does where nine would race.
+	keyPrefix     = "assign/"              // of the tables' keys in the store
+	checkInterval = 250 * time.Millisecond // between two checks for needed changes, and after a failed read
+	// rankDelay is how long a member waits for each member ranked before it before it writes a needed change, so
+	// that one process writes it where nine would race.
 	rankDelay = time.Second
 )
 
-// Options says how a Keeper is set up; all fields are needed.
+// Options configures an Assigner. All fields are required.
 type Options struct {
 	Store         store.Store
-	Group         *member.Group
-	WatchTimeout  time.Duration // of one watch
-	ListItems     func() map[string][]Item
-	OnTableChange func(table string, t Table) // on each new revision, one call at a time
+	Group         *member.Group               // membership of this process
+	WatchTimeout  time.Duration               // longest wait of one watch of the store
+	ListItems     func() map[string][]Item    // returns the items to assign, by table
+	OnTableChange func(table string, t Table) // called with each new revision of a table
 	Log           logr.Logger
 }
 
-// Assigner follows the tables and writes a new one when items or members change.
+// Assigner follows the tables in the store and writes a new one when items or members change.
 type Assigner struct {
 	opts Options
 
-	mu                sync.Mutex
-	tables            map[string]storedTable
-	lastReadStart     time.Time // when the read began whose answer was last taken in
-	changeNeededSince map[string]time.Time
-	yielded           map[string]uint64 // items given up to another holder, by table and name, with its epoch
-	planWake          chan struct{}
+	mu                sync.Mutex             // guards the fields up to yielded
+	tables            map[string]storedTable // as last read, by name
+	lastReadStart     time.Time              // latest start of a read whose result has been applied
+	changeNeededSince map[string]time.Time   // by table: since when the plan has differed from it
+	yielded           map[string]uint64      // epoch of the holder that an item was given up to, by table/item
+	planWake          chan struct{}          // wakes the planning loop; capacity 1
 }
 
+// storedTable is a table with its revision in the store.
 type storedTable struct {
 	table Table
 	rev   uint64
 }
 
-// NewAssigner returns a keeper that knows no table yet.
-func NewAssigner(o Options) *Assigner {
-	return &Assigner{opts: o, tables: map[string]storedTable{}, changeNeededSince: map[string]time.Time{}, yielded: map[string]uint64{}, planWake: make(chan struct{}, 1)}
+// NewAssigner returns an Assigner that knows no table yet.
+func NewAssigner(opts Options) *Assigner {
+	return &Assigner{opts: opts, tables: map[string]storedTable{}, changeNeededSince: map[string]time.Time{}, yielded: map[string]uint64{}, planWake: make(chan struct{}, 1)}
 }
 
-// Run follows and plans until ctx ends.
-func (k *Assigner) Run(ctx context.Context) {
+// Run follows the tables and plans new ones until ctx ends.
+func (a *Assigner) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { k.watchLoop(ctx) })
-	wg.Go(func() { k.planLoop(ctx) })
+	wg.Go(func() { a.watchLoop(ctx) })
+	wg.Go(func() { a.planLoop(ctx) })
 	wg.Wait()
 }
 
-// OwnAssignments returns the rows that this process holds, or none while it can't be sure.
-//
-// It guards against a process that lost its lease, joined again and still has the
-// tables from before: others may hold its items since. Only a read that began after
-// the joining counts.
-func (k *Assigner) OwnAssignments(table string) map[string]Assignment {
-	if !k.Authorized() {
+// OwnAssignments returns the assignments in a table that name this process as the holder, by item, or none while
+// it isn't authorized to act on them. Items that it has yielded to a newer epoch are left out.
+func (a *Assigner) OwnAssignments(table string) map[string]Assignment {
+	if !a.Authorized() {
 		return nil
 	}
-	self := k.opts.Group.Self().ID
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	rows := map[string]Assignment{}
-	for name, r := range k.tables[table].table.Assignments {
-		if r.Holder == self && r.Epoch >= k.yielded[table+"/"+name] {
-			rows[name] = r
+	self := a.opts.Group.Self().ID
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	own := map[string]Assignment{}
+	for name, assignment := range a.tables[table].table.Assignments {
+		if assignment.Holder == self && assignment.Epoch >= a.yielded[table+"/"+name] {
+			own[name] = assignment
 		}
 	}
-	return rows
+	return own
 }
 
-// YieldItem gives an item up to the holder of a newer epoch, whose table this process may
-// not have seen yet.
-func (k *Assigner) YieldItem(table, item string, ep uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// YieldItem gives an item up to a holder with a newer epoch. This process may not have read the table with that
+// epoch yet.
+func (a *Assigner) YieldItem(table, item string, epoch uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	key := table + "/" + item
-	k.yielded[key] = max(k.yielded[key], ep)
+	a.yielded[key] = max(a.yielded[key], epoch)
 }
 
-// Authorized reports whether this process may act on what the tables give it.
-func (k *Assigner) Authorized() bool {
-	if !k.opts.Group.Authorized() {
+// Authorized reports whether this process may act on its assignments.
+//
+// A process that lost its lease and joined again still has the tables from before, while others may have got its
+// items since. Therefore only a read that began after the join counts.
+func (a *Assigner) Authorized() bool {
+	if !a.opts.Group.Authorized() {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lastReadStart.After(k.opts.Group.JoinedAt())
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastReadStart.After(a.opts.Group.JoinedAt())
 }
 
-// ReadTables reads the tables at once.
-func (k *Assigner) ReadTables(ctx context.Context) error {
-	began := time.Now()
-	p, err := k.opts.Store.List(ctx, keyPrefix, 0, 0)
+// ReadTables reads the tables from the store without waiting for a change.
+func (a *Assigner) ReadTables(ctx context.Context) error {
+	readStart := time.Now()
+	listing, err := a.opts.Store.List(ctx, keyPrefix, 0, 0)
 	if err != nil {
 		return err
 	}
-	k.applyListing(p, began)
+	a.applyListing(listing, readStart)
 	return nil
 }
 
-// WakePlanner makes the keeper look at once whether a new plan is needed.
-func (k *Assigner) WakePlanner() {
+// WakePlanner makes the planning loop check at once whether a table has to change.
+func (a *Assigner) WakePlanner() {
 	select {
-	case k.planWake <- struct{}{}:
+	case a.planWake <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Assigner) watchLoop(ctx context.Context) {
-	var after uint64
+// watchLoop follows the tables in the store until ctx ends.
+func (a *Assigner) watchLoop(ctx context.Context) {
+	var afterRev uint64
 	for ctx.Err() == nil {
-		began := time.Now()
-		p, err := k.opts.Store.List(ctx, keyPrefix, after, k.opts.WatchTimeout)
+		readStart := time.Now()
+		listing, err := a.opts.Store.List(ctx, keyPrefix, afterRev, a.opts.WatchTimeout)
 		if err != nil {
 			wait.For(ctx, checkInterval)
 			continue
 		}
-		after = p.Rev
-		k.applyListing(p, began)
+		afterRev = listing.Rev
+		a.applyListing(listing, readStart)
 	}
 }
 
-func (k *Assigner) applyListing(p store.Listing, began time.Time) {
-	fresh := map[string]Table{}
-	k.mu.Lock()
-	for _, e := range p.Entries {
+// applyListing stores the tables in a listing that are newer than the known ones and calls OnTableChange with them.
+// The read of the listing began at readStart.
+func (a *Assigner) applyListing(listing store.Listing, readStart time.Time) {
+	updated := map[string]Table{}
+	a.mu.Lock()
+	for _, e := range listing.Entries {
 		name := strings.TrimPrefix(e.Key, keyPrefix)
-		if e.Rev <= k.tables[name].rev {
+		if e.Rev <= a.tables[name].rev {
 			continue
 		}
 		var t Table
 		if err := json.Unmarshal(e.Value, &t); err != nil {
-			k.opts.Log.Error(err, "table not read", "table", name)
+			a.opts.Log.Error(err, "assignment table not decoded", "table", name)
 			continue
 		}
-		k.tables[name] = storedTable{t, e.Rev}
-		fresh[name] = t
+		a.tables[name] = storedTable{t, e.Rev}
+		updated[name] = t
 	}
-	if began.After(k.lastReadStart) {
-		k.lastReadStart = began
+	if readStart.After(a.lastReadStart) {
+		a.lastReadStart = readStart
 	}
-	k.mu.Unlock()
-	for name, t := range fresh {
-		k.opts.OnTableChange(name, t)
+	a.mu.Unlock()
+	for name, t := range updated {
+		a.opts.OnTableChange(name, t)
 	}
-	k.WakePlanner()
+	a.WakePlanner()
 }
 
-func (k *Assigner) planLoop(ctx context.Context) {
+// planLoop plans all tables at intervals, and when it is woken, until ctx ends.
+func (a *Assigner) planLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		for name, items := range k.opts.ListItems() {
-			k.planTable(ctx, name, items)
+		for name, items := range a.opts.ListItems() {
+			a.planTable(ctx, name, items)
 		}
-		t := time.NewTimer(checkInterval)
+		timer := time.NewTimer(checkInterval)
 		select {
 		case <-ctx.Done():
-		case <-k.planWake:
-		case <-t.C:
+		case <-a.planWake:
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 }
 
-func (k *Assigner) planTable(ctx context.Context, name string, items []Item) {
-	if !k.Authorized() {
+// planTable plans a table and writes it if it differs from the current one and it is this process's turn.
+func (a *Assigner) planTable(ctx context.Context, name string, items []Item) {
+	if !a.Authorized() {
 		return
 	}
-	view := k.opts.Group.View()
-	k.mu.Lock()
-	old := k.tables[name]
-	next, changed := PlanTable(old.table, items, view)
-	due := changed && k.isOwnTurn(name, view)
-	k.mu.Unlock()
-	if !due {
+	view := a.opts.Group.View()
+	a.mu.Lock()
+	current := a.tables[name]
+	next, changed := PlanTable(current.table, items, view)
+	write := changed && a.isOwnTurn(name, view)
+	a.mu.Unlock()
+	if !write {
 		return
 	}
 	next.WriteID = uuid.NewString()
 	value, err := json.Marshal(next)
 	if err != nil {
-		k.opts.Log.Error(err, "table not written", "table", name)
+		a.opts.Log.Error(err, "assignment table not written", "table", name)
 		return
 	}
-	cctx, cancel := context.WithTimeout(ctx, 2*rankDelay)
+	writeCtx, cancel := context.WithTimeout(ctx, 2*rankDelay)
 	defer cancel()
-	err = store.SwapWithRetry(cctx, k.opts.Store, keyPrefix+name, value, old.rev, store.ValueEquals(value))
+	err = store.SwapWithRetry(writeCtx, a.opts.Store, keyPrefix+name, value, current.rev, store.ValueEquals(value))
 	switch {
 	case err == nil:
-		k.opts.Log.Info("table written", "table", name, "items", len(items), "seq", next.LastEpoch)
-		err = k.ReadTables(cctx)
+		a.opts.Log.Info("assignment table written", "table", name, "items", len(items), "seq", next.LastEpoch)
+		err = a.ReadTables(writeCtx)
 	case errors.Is(err, store.ErrConflict):
-		err = k.ReadTables(cctx)
+		err = a.ReadTables(writeCtx)
 	}
 	if err != nil {
-		k.opts.Log.Info("table not written", "table", name, "err", err.Error())
+		a.opts.Log.Info("assignment table not written", "table", name, "err", err.Error())
 	}
 }
 
-// isOwnTurn reports whether it is this process's turn to write the table; the lock is held.
-func (k *Assigner) isOwnTurn(name string, view member.View) bool {
+// isOwnTurn reports whether it is this process's turn to write a needed change of the table. The caller holds mu.
+// A time in changeNeededSince of more than a minute ago belongs to an earlier change.
+func (a *Assigner) isOwnTurn(name string, view member.View) bool {
 	now := time.Now()
-	since, ok := k.changeNeededSince[name]
+	since, ok := a.changeNeededSince[name]
 	if !ok || now.Sub(since) > time.Minute {
 		since = now
-		k.changeNeededSince[name] = now
+		a.changeNeededSince[name] = now
 	}
-	if now.Sub(since) < time.Duration(k.writerRank(name, view))*rankDelay {
+	if now.Sub(since) < time.Duration(a.writerRank(name, view))*rankDelay {
 		return false
 	}
-	delete(k.changeNeededSince, name)
+	delete(a.changeNeededSince, name)
 	return true
 }
 
-// writerRank returns this process's place in the order of the table's homes.
-func (k *Assigner) writerRank(name string, view member.View) int {
-	self := k.opts.Group.Self().ID
+// writerRank returns how many members come before this process in the order of the table's homes.
+func (a *Assigner) writerRank(name string, view member.View) int {
+	self := a.opts.Group.Self().ID
 	var before []string
 	for {
 		m, ok := view.HomeOf(name, before...)
@@ -241,9 +248,9 @@
 	}
 }
 
-// HolderOf returns the member that holds an item by the latest table, or "".
-func (k *Assigner) HolderOf(table, item string) string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.tables[table].table.Assignments[item].Holder
+// HolderOf returns the ID of the member that holds an item according to the table as last read, or "" if none does.
+func (a *Assigner) HolderOf(table, item string) string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.tables[table].table.Assignments[item].Holder
 }
--- a/internal/ctrl/shard/doc.go
+++ b/internal/ctrl/shard/doc.go
@@ -1,3 +1,3 @@
-// Package shard divides items (targets of a service, racks of workers) among the
-// live entry processes, by tables in the store that change only by compare-and-swap.
+// Package shard assigns items, such as the targets of a service or racks of workers, to the live entry processes.
+// The assignments are tables in the store that change only by compare-and-swap.
 package shard
--- a/internal/ctrl/shard/plan.go
+++ b/internal/ctrl/shard/plan.go
@@ -7,35 +7,32 @@
 	"bramleysail.example/bramleysail/internal/peer/member"
 )
 
-// Assignment says who holds an item. Ep grows each time the holder changes; commands about
-// the item carry it. Was is the holder before, who may have things in flight there.
+// Assignment says which member holds an item.
 type Assignment struct {
-	Holder       string `json:"by"`
-	Epoch        uint64 `json:"ep"`
-	FormerHolder string `json:"was,omitempty"`
+	Holder       string `json:"by"`            // ID of the member
+	Epoch        uint64 `json:"ep"`            // fencing token: grows each time the holder changes; commands about the item carry it
+	FormerHolder string `json:"was,omitempty"` // the holder before, which may still have requests or commands in flight there
 }
 
-// Table is the record of one kind of items as it stands in the store.
+// Table is the record of the assignments of one kind of items, as it is stored.
 type Table struct {
-	WriteID     string                `json:"id"`  // of the write, so that a lost answer can be settled
-	LastEpoch   uint64                `json:"seq"` // the highest epoch given so far
-	Assignments map[string]Assignment `json:"rows"`
+	WriteID     string                `json:"id"`   // id of the write, which shows after a lost answer whether the write took effect
+	LastEpoch   uint64                `json:"seq"`  // highest epoch assigned so far
+	Assignments map[string]Assignment `json:"rows"` // by item name
 }
 
-// Item is something to be held: a target or a rack, in a failure domain.
+// Item is something that one member holds at a time, such as a target or a rack.
 type Item struct {
 	Name string
-	Zone string
+	Zone string // failure domain, if it has one
 }
 
-// maxUnlisted is how many rows of items that are not listed any more are kept. They
-// are kept because the host list lags and loses rows: an item that comes back has to
-// find its last holder and a higher epoch.
+// maxUnlisted is how many assignments of items that are no longer listed are kept. The host list lags and misses
+// items at times: an item that appears again must find its last holder and get a higher epoch.
 const maxUnlisted = 1000
 
-// PlanTable returns the table that shares the items evenly among the live members, moving
-// as few as it can and preferring a holder in the item's failure domain; changed
-// tells whether it differs from t.
+// PlanTable returns a table that spreads the items evenly over the live members. It moves as few items as possible
+// and prefers holders in an item's failure domain. changed reports whether the table differs from t.
 func PlanTable(t Table, items []Item, view member.View) (next Table, changed bool) {
 	p := newTablePlan(t, items, view)
 	if len(p.live) == 0 {
@@ -47,17 +44,19 @@
 	return p.next, p.changed
 }
 
+// tablePlan is the state of one call of PlanTable.
 type tablePlan struct {
-	next           Table
-	items          []Item
-	live           []member.Member
-	assignedCount  map[string]int
-	itemZones      map[string]string // of the items
-	fullSharesLeft int               // members that may yet come to hold most()
-	changed        bool
-	unassigned     []Item
+	next           Table             // the table that is planned
+	items          []Item            // in order of name
+	live           []member.Member   // the members that aren't leaving
+	assignedCount  map[string]int    // number of items assigned so far, by member
+	itemZones      map[string]string // failure domain of each listed item, by name
+	fullSharesLeft int               // number of further members that may get maxShare items
+	changed        bool              // next differs from the table before
+	unassigned     []Item            // items that need a new holder
 }
 
+// newTablePlan returns a plan that begins with the assignments of t.
 func newTablePlan(t Table, items []Item, view member.View) *tablePlan {
 	p := &tablePlan{
 		next:          Table{LastEpoch: t.LastEpoch, Assignments: map[string]Assignment{}},
@@ -65,8 +64,8 @@
 		assignedCount: map[string]int{},
 		itemZones:     map[string]string{},
 	}
-	for k, r := range t.Assignments {
-		p.next.Assignments[k] = r
+	for name, a := range t.Assignments {
+		p.next.Assignments[name] = a
 	}
 	slices.SortFunc(p.items, func(a, b Item) int { return cmp.Compare(a.Name, b.Name) })
 	for _, it := range p.items {
@@ -80,20 +79,20 @@
 	return p
 }
 
-// maxShare is how many items the member at a place in the order of live members holds
-// at the maxShare: the share rounded up for the first few, down for the rest.
+// maxShare returns the largest number of items that a member may hold: the average, rounded up. Only as many members
+// as needed hold that many; the others hold the average rounded down.
 func (p *tablePlan) maxShare() int {
 	return (len(p.items) + len(p.live) - 1) / len(p.live)
 }
 
-// keepAssigned leaves items with live holders up to their share; what is above it is let go,
-// the items of foreign failure domains first.
+// keepAssigned leaves items with their live holders up to each holder's share. Items beyond the share become
+// unassigned, those in other failure domains than the holder's first.
 func (p *tablePlan) keepAssigned() {
 	held := map[string][]Item{}
 	for _, it := range p.items {
-		r, ok := p.next.Assignments[it.Name]
-		if ok && p.isLive(r.Holder) {
-			held[r.Holder] = append(held[r.Holder], it)
+		a, ok := p.next.Assignments[it.Name]
+		if ok && p.isLive(a.Holder) {
+			held[a.Holder] = append(held[a.Holder], it)
 			continue
 		}
 		p.unassigned = append(p.unassigned, it)
@@ -104,32 +103,33 @@
 		if len(held[m.ID]) >= limit && p.fullSharesLeft <= 0 {
 			limit--
 		}
-		list := held[m.ID]
-		slices.SortStableFunc(list, func(a, b Item) int {
+		items := held[m.ID]
+		slices.SortStableFunc(items, func(a, b Item) int {
 			return cmp.Compare(zoneDistance(a, m), zoneDistance(b, m))
 		})
-		if len(list) > limit {
-			p.unassigned = append(p.unassigned, list[limit:]...)
-			list = list[:limit]
+		if len(items) > limit {
+			p.unassigned = append(p.unassigned, items[limit:]...)
+			items = items[:limit]
 		}
-		p.assignedCount[m.ID] = len(list)
+		p.assignedCount[m.ID] = len(items)
 		p.countFullShare(m.ID)
 	}
 }
 
-// countFullShare notes that the member has come to hold most().
+// countFullShare takes account of a member that has just reached maxShare items.
 func (p *tablePlan) countFullShare(id string) {
 	if p.assignedCount[id] == p.maxShare() {
 		p.fullSharesLeft--
 	}
 }
 
-// belowShare reports whether the member may hold one item more without making shares uneven.
+// belowShare reports whether the member may hold one more item without making the shares uneven.
 func (p *tablePlan) belowShare(id string) bool {
 	n := p.assignedCount[id]
 	return n < p.maxShare()-1 || n == p.maxShare()-1 && p.fullSharesLeft > 0
 }
 
+// zoneDistance returns 0 if the item is in the member's failure domain, 1 otherwise.
 func zoneDistance(it Item, m member.Member) int {
 	if it.Zone == m.Zone {
 		return 0
@@ -137,7 +137,7 @@
 	return 1
 }
 
-// sortedByItems returns the live members, those that hold most first.
+// sortedByItems returns the live members, those with the most items first.
 func (p *tablePlan) sortedByItems(held map[string][]Item) []member.Member {
 	ms := slices.Clone(p.live)
 	slices.SortStableFunc(ms, func(a, b member.Member) int {
@@ -150,8 +150,8 @@
 	return slices.ContainsFunc(p.live, func(m member.Member) bool { return m.ID == id })
 }
 
-// assignRemaining gives every item without a holder to a member with the fewest, in the item's
-// failure domain where one is below the share.
+// assignRemaining assigns each item without a holder to a member with the fewest items, in the item's failure domain
+// if a member there is below its share.
 func (p *tablePlan) assignRemaining() {
 	slices.SortFunc(p.unassigned, func(a, b Item) int { return cmp.Compare(a.Name, b.Name) })
 	for _, it := range p.unassigned {
@@ -165,16 +165,18 @@
 	}
 }
 
+// isPreferred reports whether m is a better holder of the item than best. A member in the item's failure domain is
+// preferred while it is below its share, then the one with fewer items.
 func (p *tablePlan) isPreferred(it Item, m, best member.Member) bool {
-	// A member of the item's own failure domain goes first while it is below the share.
-	mNear := m.Zone == it.Zone && p.belowShare(m.ID)
-	bNear := best.Zone == it.Zone && p.belowShare(best.ID)
-	if mNear != bNear {
-		return mNear
+	mSameZone := m.Zone == it.Zone && p.belowShare(m.ID)
+	bestSameZone := best.Zone == it.Zone && p.belowShare(best.ID)
+	if mSameZone != bestSameZone {
+		return mSameZone
 	}
 	return p.assignedCount[m.ID] < p.assignedCount[best.ID]
 }
 
+// assign assigns an item to a member, with a new epoch if that changes the holder.
 func (p *tablePlan) assign(name, to string) {
 	p.assignedCount[to]++
 	p.countFullShare(to)
@@ -187,22 +189,22 @@
 	p.changed = true
 }
 
-// pruneUnlisted drops the oldest rows of items that are not listed any more.
+// pruneUnlisted removes the assignments with the lowest epochs of items that are no longer listed, beyond maxUnlisted.
 func (p *tablePlan) pruneUnlisted() {
-	var absent []string
-	for k := range p.next.Assignments {
-		if _, ok := p.itemZones[k]; !ok {
-			absent = append(absent, k)
+	var unlisted []string
+	for name := range p.next.Assignments {
+		if _, ok := p.itemZones[name]; !ok {
+			unlisted = append(unlisted, name)
 		}
 	}
-	if len(absent) <= maxUnlisted {
+	if len(unlisted) <= maxUnlisted {
 		return
 	}
-	slices.SortFunc(absent, func(a, b string) int {
+	slices.SortFunc(unlisted, func(a, b string) int {
 		return cmp.Compare(p.next.Assignments[a].Epoch, p.next.Assignments[b].Epoch)
 	})
-	for _, k := range absent[:len(absent)-maxUnlisted] {
-		delete(p.next.Assignments, k)
+	for _, name := range unlisted[:len(unlisted)-maxUnlisted] {
+		delete(p.next.Assignments, name)
 		p.changed = true
 	}
 }
--- a/internal/ctrl/shard/plan_test.go
+++ b/internal/ctrl/shard/plan_test.go
@@ -11,12 +11,13 @@
 	"bramleysail.example/bramleysail/internal/peer/member"
 )
 
-// The seed is fixed so that every run gives the same verdict.
+// The seed is fixed so that every run has the same result.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
+// members returns members with the given numbers, spread over three failure domains.
 func members(ids ...int) []member.Member {
 	var ms []member.Member
 	for _, i := range ids {
@@ -25,26 +26,26 @@
 	return ms
 }
 
+// items returns n items, spread over three failure domains.
 func items(n int) []Item {
-	var its []Item
+	var list []Item
 	for i := range n {
-		its = append(its, Item{fmt.Sprintf("t%02d", i), fmt.Sprintf("z%d", i%3)})
+		list = append(list, Item{fmt.Sprintf("t%02d", i), fmt.Sprintf("z%d", i%3)})
 	}
-	return its
+	return list
 }
 
-// Processes come and go in any order. What a user would see of a bad plan: targets
-// that nobody holds answer nothing, an uneven share makes one process slow, and an
-// epoch used twice lets a former holder's commands pass the fence.
+// Members join and leave in any order. With a wrong plan, targets without a holder would get no requests, uneven
+// shares would make one process slow, and an epoch used twice would let a former holder's commands pass the fence.
 func TestPlanTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 9, rapid.ID[int]).Draw(t, "live")
-			its := items(rapid.IntRange(0, 60).Draw(t, "items"))
-			next, _ := PlanTable(table, its, member.NewView(1, members(ids...)...))
-			checkPlan(t, table, next, its, ids)
-			again, changed := PlanTable(next, its, member.NewView(1, members(ids...)...))
+			listed := items(rapid.IntRange(0, 60).Draw(t, "items"))
+			next, _ := PlanTable(table, listed, member.NewView(1, members(ids...)...))
+			checkPlan(t, table, next, listed, ids)
+			again, changed := PlanTable(next, listed, member.NewView(1, members(ids...)...))
 			if changed {
 				t.Fatalf("a second plan moves items again: %v to %v", next, again)
 			}
@@ -53,19 +54,21 @@
 	})
 }
 
-func checkPlan(t *rapid.T, old, next Table, its []Item, ids []int) {
+// checkPlan checks that next assigns every item to a live member in even shares, and that each change of a holder has
+// a new epoch and names the former holder.
+func checkPlan(t *rapid.T, old, next Table, listed []Item, ids []int) {
 	count := map[string]int{}
-	for _, it := range its {
-		r := next.Assignments[it.Name]
-		if !slices.ContainsFunc(ids, func(i int) bool { return fmt.Sprintf("e%d", i) == r.Holder }) {
-			t.Fatalf("%s is held by %q, which isn't live", it.Name, r.Holder)
+	for _, it := range listed {
+		a := next.Assignments[it.Name]
+		if !slices.ContainsFunc(ids, func(i int) bool { return fmt.Sprintf("e%d", i) == a.Holder }) {
+			t.Fatalf("%s is held by %q, which isn't live", it.Name, a.Holder)
 		}
-		count[r.Holder]++
-		if before := old.Assignments[it.Name]; before.Holder != r.Holder && (r.Epoch <= old.LastEpoch || r.FormerHolder != before.Holder) {
-			t.Fatalf("%s moved from %+v to %+v with highest epoch %d", it.Name, before, r, old.LastEpoch)
+		count[a.Holder]++
+		if before := old.Assignments[it.Name]; before.Holder != a.Holder && (a.Epoch <= old.LastEpoch || a.FormerHolder != before.Holder) {
+			t.Fatalf("%s moved from %+v to %+v with highest epoch %d", it.Name, before, a, old.LastEpoch)
 		}
 	}
-	low, high := len(its), 0
+	low, high := len(listed), 0
 	for _, i := range ids {
 		n := count[fmt.Sprintf("e%d", i)]
 		low, high = min(low, n), max(high, n)
@@ -75,20 +78,19 @@
 	}
 }
 
-// One process of nine dies: only its items may move, or the death of one process
-// would disturb the requests at all targets.
+// One member of nine dies. Only its items may move; otherwise its death would disturb the requests at all targets.
 func TestPlanTableMovesFewItems(t *testing.T) {
 	all := member.NewView(1, members(0, 1, 2, 3, 4, 5, 6, 7, 8)...)
 	table, _ := PlanTable(Table{}, items(50), all)
 	next, _ := PlanTable(table, items(50), member.NewView(2, members(0, 1, 2, 3, 5, 6, 7, 8)...))
-	for k, r := range next.Assignments {
-		if was := table.Assignments[k]; was.Holder != "e4" && was.Holder != r.Holder {
-			t.Errorf("%s moved from %s to %s though its holder lives", k, was.Holder, r.Holder)
+	for name, a := range next.Assignments {
+		if was := table.Assignments[name]; was.Holder != "e4" && was.Holder != a.Holder {
+			t.Errorf("%s moved from %s to %s though its holder is live", name, was.Holder, a.Holder)
 		}
 	}
 }
 
-// BenchmarkPlan measures a plan after the loss of one member of nine.
+// BenchmarkPlan measures PlanTable after the loss of one member of nine.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
