--- a/internal/ctrl/sheet/sheet_test.go
+++ b/internal/ctrl/sheet/sheet_test.go
@@ -16,6 +16,7 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
+// readExample returns the text of a file in the directory of examples.
 func readExample(t testing.TB, name string) string {
 	t.Helper()
 	data, err := os.ReadFile("../../../examples/" + name)
@@ -25,7 +26,7 @@
 	return string(data)
 }
 
-// A sheet with several mistakes: all of them must be named, each with its line.
+// A sheet has several errors. All of them must be reported, each with its line.
 func TestParseErrors(t *testing.T) {
 	_, err := Parse(`base = 0
 colour = "red"
@@ -44,11 +45,12 @@
 quota = -1
 `)
 	if err == nil {
-		t.Fatal("it's accepted")
+		t.Fatal("an invalid sheet is accepted")
 	}
 	goldie.New(t).Assert(t, "faults", []byte(err.Error()))
 }
 
+// newTestStore returns a client of a new fake store.
 func newTestStore(t *testing.T) store.Store {
 	t.Helper()
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
@@ -56,8 +58,8 @@
 	return store.NewHTTP(srv.URL, time.Second)
 }
 
-// The planners' sheet was drawn before an operator took a domain out. It must not bring
-// the domain back; an empty or shrunken sheet must change nothing either.
+// A sheet was written before an operator evacuated a failure domain. It must not bring the domain back. A sheet that is
+// empty, or that removes half of the declarations without confirmation, must change nothing either.
 func TestPutSheet(t *testing.T) {
 	ctx := context.Background()
 	s := newTestStore(t)
@@ -71,39 +73,40 @@
 		t.Fatalf("first sheet: %d, %v", c.Version, err)
 	}
 	if c, err := SetZoneEvacuated(ctx, s, "heredia", true); err != nil || c.IsZoneUsable("heredia") {
-		t.Fatalf("domain out: %v", err)
+		t.Fatalf("evacuation: %v", err)
 	}
 	if _, err := PutSheet(ctx, s, text, false); !errors.Is(err, ErrConflict) {
-		t.Errorf("a sheet from before: %v", err)
+		t.Errorf("a sheet based on an older version: %v", err)
 	}
 	if _, err := PutSheet(ctx, s, "", false); err == nil {
 		t.Error("an empty sheet is accepted")
 	}
 	small := "base = 2\n[[zone]]\nname = \"heredia\"\n"
 	if _, err := PutSheet(ctx, s, small, false); !errors.Is(err, ErrUnconfirmedRemoval) {
-		t.Errorf("a shrunken sheet: %v", err)
+		t.Errorf("a sheet that removes most declarations: %v", err)
 	}
 	if c, err := PutSheet(ctx, s, small, true); err != nil || c.IsZoneUsable("heredia") {
-		t.Errorf("confirmed: %v; a sheet brings no domain back", err)
+		t.Errorf("confirmed: %v; a sheet must not bring a failure domain back", err)
 	}
 	if _, err := SetZoneEvacuated(ctx, s, "nowhere", true); !errors.Is(err, ErrUnknownZone) {
-		t.Errorf("an unknown domain: %v", err)
+		t.Errorf("an unknown failure domain: %v", err)
 	}
 }
 
-// An old answer arrives late, after a newer configuration was seen.
+// The answer to an older read arrives after a newer version was seen. It must not replace that.
 func TestOlderConfigIgnored(t *testing.T) {
-	f := NewConfigWatcher(nil, 0, func(Config) {}, discardLog())
-	page := func(num string) store.Listing {
-		return store.Listing{Rev: 9, Entries: []store.Entry{{Key: configKey, Value: []byte(`{"num":` + num + `}`)}}}
+	w := NewConfigWatcher(nil, 0, func(Config) {}, discardLog())
+	listing := func(version string) store.Listing {
+		return store.Listing{Rev: 9, Entries: []store.Entry{{Key: configKey, Value: []byte(`{"num":` + version + `}`)}}}
 	}
-	f.applyListing(page("5"), time.Now(), true)
-	f.applyListing(page("4"), time.Now(), true)
-	if f.Current().Version != 5 {
-		t.Errorf("configuration %d after 5 was seen", f.Current().Version)
+	w.applyListing(listing("5"), time.Now(), true)
+	w.applyListing(listing("4"), time.Now(), true)
+	if w.Current().Version != 5 {
+		t.Errorf("version %d after 5 was seen", w.Current().Version)
 	}
 }
 
+// FuzzParse checks that no text makes Parse panic or accept a sheet without failure domains.
 func FuzzParse(f *testing.F) {
 	f.Add(readExample(f, "association.sheet.toml"))
 	f.Add("[[zone]]\nname = 1")
@@ -115,17 +118,17 @@
 	})
 }
 
-// A second configuration is read while the first is still being put in force. Put in force
-// one after the other but in the wrong order, the older one would stay.
+// A second version is read while onChange is still being called with the first one. If the calls were made in the
+// wrong order, the older version would stay in force.
 func TestChangeOrder(t *testing.T) {
 	ctx := context.Background()
 	s := newTestStore(t)
 	read := func() store.Listing {
-		p, err := s.List(ctx, configKey, 0, 0)
+		listing, err := s.List(ctx, configKey, 0, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return listing
 	}
 	if _, err := PutSheet(ctx, s, readExample(t, "association.sheet.toml"), false); err != nil {
 		t.Fatal(err)
@@ -135,16 +138,16 @@
 		t.Fatal(err)
 	}
 	second := read()
-	var f *ConfigWatcher
-	var inForce []uint64
-	f = NewConfigWatcher(s, 0, func(c Config) {
+	var w *ConfigWatcher
+	var versions []uint64
+	w = NewConfigWatcher(s, 0, func(c Config) {
 		if c.Version == 1 {
-			f.applyListing(second, time.Now(), true)
+			w.applyListing(second, time.Now(), true)
 		}
-		inForce = append(inForce, c.Version)
+		versions = append(versions, c.Version)
 	}, logr.Discard())
-	f.applyListing(first, time.Now(), true)
-	if !slices.Equal(inForce, []uint64{1, 2}) {
-		t.Errorf("put in force: %v", inForce)
+	w.applyListing(first, time.Now(), true)
+	if !slices.Equal(versions, []uint64{1, 2}) {
+		t.Errorf("onChange was called with versions %v", versions)
 	}
 }
