--- a/internal/proc/story/doc.go
+++ b/internal/proc/joblog/doc.go
@@ -1,2 +1,2 @@
 // Package story tells from log lines, of any number of hosts, what became of a job and why.
-package story
+package joblog
--- a/internal/proc/story/story_test.go
+++ b/internal/proc/joblog/history_test.go
@@ -1,4 +1,4 @@
-package story_test
+package joblog_test
 
 import (
 	"bytes"
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 	"github.com/sebdah/goldie/v2"
 
-	"bramleysail.example/bramleysail/internal/proc/story"
+	"bramleysail.example/bramleysail/internal/proc/joblog"
 )
 
-// A book of two steps: one task fails and is begun again, one is slowed and moved, the second
+// A firstHostLog of two steps: one task fails and is begun again, one is slowed and moved, the second
 // step waits for a place, and the holder changes meanwhile. The lines come from two hosts, one
 // of whose collectors puts its own time before each.
-const book = `time=2030-01-01T10:00:00.000Z level=INFO msg=holder host=a term=1
+const firstHostLog = `time=2030-01-01T10:00:00.000Z level=INFO msg=holder host=a term=1
 time=2030-01-01T10:00:01.000Z level=INFO msg=accepted host=a term=1 job=book queue=q tasks=3 took=7ms
 time=2030-01-01T10:00:01.010Z level=INFO msg=order host=a term=1 verb=start task=book.0.0.0 run=1000001 worker=w1 pace=0 outcome=done took=4ms
 time=2030-01-01T10:00:01.010Z level=INFO msg=order host=a term=1 verb=start task=book.0.0.1 run=1000001 worker=w2 pace=0 outcome=done took=4ms
@@ -27,7 +27,7 @@
 time=2030-01-01T10:00:03.200Z level=INFO msg=end host=a term=1 task=book.0.0.1 run=1000001 how=stopped worker=w2 seq=5
 `
 
-const bookNext = `12.5 b time=2030-01-01T10:00:04.000Z level=INFO msg="took over" host=b term=2 jobs=2 workers=3 took=60ms
+const secondHostLog = `12.5 b time=2030-01-01T10:00:04.000Z level=INFO msg="took over" host=b term=2 jobs=2 workers=3 took=60ms
 12.6 b time=2030-01-01T10:00:04.100Z level=INFO msg=order host=b term=2 verb=start task=book.0.0.1 run=2000001 worker=w3 pace=0 outcome=done took=4ms
 12.7 b time=2030-01-01T10:00:04.200Z level=INFO msg=answer host=b verb=state path=/q/book result=refused why="holder doesn't answer" version=3 took=890ms
 12.8 b time=2030-01-01T10:00:05.000Z level=INFO msg=end host=b term=2 task=book.0.0.0 run=1000002 how=done worker=w3 seq=7
@@ -38,11 +38,11 @@
 13.3 b time=2030-01-01T10:00:18.500Z level=INFO msg="no longer the holder" host=b term=2 cause=stopped
 `
 
-func lines(t *testing.T) []story.Line {
+func readLines(t *testing.T) []joblog.Line {
 	t.Helper()
-	var all []story.Line
-	for _, log := range []string{bookNext, book} {
-		got, _, err := story.Read(strings.NewReader(log))
+	var all []joblog.Line
+	for _, log := range []string{secondHostLog, firstHostLog} {
+		got, _, err := joblog.ReadLines(strings.NewReader(log))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,37 +52,37 @@
 }
 
 func TestText(t *testing.T) {
-	s, err := story.Of("book", lines(t))
+	s, err := joblog.NewHistory("book", readLines(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := s.Text(&out); err != nil {
+	if err := s.WriteText(&out); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "book", out.Bytes())
 }
 
 func TestJSON(t *testing.T) {
-	s, err := story.Of("book", lines(t))
+	s, err := joblog.NewHistory("book", readLines(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := s.JSON(&out); err != nil {
+	if err := s.WriteJSON(&out); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "book.json", out.Bytes())
 }
 
-func TestNone(t *testing.T) {
-	if _, err := story.Of("boo", lines(t)); !errors.Is(err, story.ErrNone) {
+func TestJobNotFound(t *testing.T) {
+	if _, err := joblog.NewHistory("boo", readLines(t)); !errors.Is(err, joblog.ErrJobNotFound) {
 		t.Errorf("error %v, want ErrNone", err)
 	}
 }
 
-func TestUnreadable(t *testing.T) {
-	got, bad, err := story.Read(strings.NewReader(book))
+func TestReadLinesCountsUnreadable(t *testing.T) {
+	got, bad, err := joblog.ReadLines(strings.NewReader(firstHostLog))
 	if err != nil || bad != 1 || len(got) != 10 {
 		t.Errorf("%d lines, %d bad, %v", len(got), bad, err)
 	}
--- a/internal/proc/report/job.go
+++ b/internal/proc/report/job.go
@@ -6,99 +6,99 @@
 	"strings"
 	"time"
 
-	"bramleysail.example/bramleysail/internal/proc/story"
+	"bramleysail.example/bramleysail/internal/proc/joblog"
 )
 
 // job is what logs tell of a job.
 type job struct {
-	id      string
-	queue   string
-	first   time.Time // of its lines
-	refused time.Time // first; zero: never
-	taken   time.Time // when the answer that it was accepted left; zero: not in these logs
-	store   time.Duration
-	steps   map[string]*step // by occurrence and number
-	order   []string         // of steps, as they were placed
-	ended   time.Time
-	state   string
-	aim     time.Duration
-	lasting bool
+	id               string
+	queue            string
+	firstSeen        time.Time // of its lines
+	refusedAt        time.Time // first; zero: never
+	acceptedAt       time.Time // when the answer that it was accepted left; zero: not in these logs
+	storeTime        time.Duration
+	steps            map[string]*stepInstance // by occurrence and number
+	stepOrder        []string                 // of steps, as they were placed
+	endedAt          time.Time
+	state            string
+	relativeDeadline time.Duration
+	longRunning      bool
 }
 
-// step is a step of a job's occurrence.
-type step struct {
-	placed time.Time // when its last task found a place
-	waited time.Duration
-	lacked time.Duration // of waited, after a task had found no place
-	expect time.Duration // that a task takes
-	tasks  map[string][]run
+// stepInstance is a stepInstance of a job's occurrence.
+type stepInstance struct {
+	placedAt     time.Time // when its last task found a place
+	waited       time.Duration
+	unplaced     time.Duration // of waited, after a task had found no place
+	expectedTime time.Duration // that a task takes
+	runs         map[string][]run
 }
 
 // run is a start of a task with its end.
 type run struct {
-	number   string
-	left     time.Time // of the start
-	answered time.Time
-	ended    time.Time
-	how      string
+	number  string
+	sentAt  time.Time // of the start
+	ackedAt time.Time
+	endedAt time.Time
+	end     string
 }
 
-func (j *job) step(name string) *step {
+func (j *job) ensureStep(name string) *stepInstance {
 	if j.steps == nil {
-		j.steps = map[string]*step{}
+		j.steps = map[string]*stepInstance{}
 	}
 	s := j.steps[name]
 	if s == nil {
-		s = &step{tasks: map[string][]run{}}
+		s = &stepInstance{runs: map[string][]run{}}
 		j.steps[name] = s
-		j.order = append(j.order, name)
+		j.stepOrder = append(j.stepOrder, name)
 	}
 	return s
 }
 
-// take takes a line about the job.
-func (j *job) take(l *story.Line) {
+// addLine takes a line about the job.
+func (j *job) addLine(l *joblog.Line) {
 	switch l.Msg {
 	case "answer":
-		if l.Field("verb") == "submit" && l.Field("result") == "refused" && j.refused.IsZero() && j.taken.IsZero() {
-			j.refused = l.At
+		if l.Field("verb") == "submit" && l.Field("result") == "refused" && j.refusedAt.IsZero() && j.acceptedAt.IsZero() {
+			j.refusedAt = l.Time
 		}
 	case "accepted":
-		j.queue, j.taken, j.store = l.Field("queue"), l.At, l.Duration("took")
+		j.queue, j.acceptedAt, j.storeTime = l.Field("queue"), l.Time, l.Duration("took")
 	case "placed":
-		s := j.step(l.Field("round") + "." + l.Field("step"))
+		s := j.ensureStep(l.Field("round") + "." + l.Field("step"))
 		j.queue = cmp.Or(j.queue, l.Field("queue"))
-		s.placed, s.waited, s.lacked, s.expect = l.At, l.Duration("waited"), l.Duration("lacked"), l.Duration("expect")
-		j.lasting = j.lasting || l.Field("lasting") == "true"
+		s.placedAt, s.waited, s.unplaced, s.expectedTime = l.Time, l.Duration("waited"), l.Duration("lacked"), l.Duration("expect")
+		j.longRunning = j.longRunning || l.Field("lasting") == "true"
 	case "order":
-		j.start(l)
+		j.addStart(l)
 	case "end":
-		j.end(l)
+		j.addEnd(l)
 	case "finished":
 		j.queue = cmp.Or(j.queue, l.Field("queue"))
-		j.ended, j.state, j.aim = l.At, l.Field("state"), l.Duration("aim")
+		j.endedAt, j.state, j.relativeDeadline = l.Time, l.Field("state"), l.Duration("aim")
 	}
 }
 
-// task returns the step of a line about a task.
-func (j *job) task(l *story.Line) *step {
+// stepOfTask returns the step of a line about a stepOfTask.
+func (j *job) stepOfTask(l *joblog.Line) *stepInstance {
 	p := strings.Split(l.Field("task"), ".")
-	return j.step(p[1] + "." + p[2])
+	return j.ensureStep(p[1] + "." + p[2])
 }
 
-func (j *job) start(l *story.Line) {
+func (j *job) addStart(l *joblog.Line) {
 	if l.Field("verb") != "start" || l.Field("outcome") != "done" {
 		return
 	}
-	s, name := j.task(l), l.Field("task")
-	s.tasks[name] = append(s.tasks[name], run{number: l.Field("run"), left: l.At.Add(-l.Duration("took")), answered: l.At})
+	s, name := j.stepOfTask(l), l.Field("task")
+	s.runs[name] = append(s.runs[name], run{number: l.Field("run"), sentAt: l.Time.Add(-l.Duration("took")), ackedAt: l.Time})
 }
 
-func (j *job) end(l *story.Line) {
-	s, name := j.task(l), l.Field("task")
-	for i, r := range s.tasks[name] {
+func (j *job) addEnd(l *joblog.Line) {
+	s, name := j.stepOfTask(l), l.Field("task")
+	for i, r := range s.runs[name] {
 		if r.number == l.Field("run") {
-			s.tasks[name][i].ended, s.tasks[name][i].how = l.At, l.Field("how")
+			s.runs[name][i].endedAt, s.runs[name][i].end = l.Time, l.Field("how")
 		}
 	}
 }
@@ -106,59 +106,59 @@
 // segments returns what the job's time went to, along the tasks that ended last of each step.
 func (j *job) segments() []segment {
 	var all []segment
-	at := j.first
+	at := j.firstSeen
 	to := func(p Phase, t time.Time) {
 		if t.After(at) {
 			all = append(all, segment{p, at, t})
 			at = t
 		}
 	}
-	if !j.refused.IsZero() && !j.taken.IsZero() {
-		to(PhaseRefused, j.taken.Add(-j.store))
+	if !j.refusedAt.IsZero() && !j.acceptedAt.IsZero() {
+		to(PhaseRefused, j.acceptedAt.Add(-j.storeTime))
 	}
-	if !j.taken.IsZero() {
-		at = j.taken.Add(-j.store)
-		to(PhaseStore, j.taken)
+	if !j.acceptedAt.IsZero() {
+		at = j.acceptedAt.Add(-j.storeTime)
+		to(PhaseStore, j.acceptedAt)
 	}
-	for _, name := range j.order {
+	for _, name := range j.stepOrder {
 		s := j.steps[name]
-		runs := s.last()
+		runs := s.lastTaskRuns()
 		if len(runs) == 0 {
 			continue
 		}
-		if !s.placed.IsZero() {
-			to(PhaseHolder, earliest(s.placed.Add(-s.lacked), runs[0].left))
-			if s.lacked > 0 {
-				to(PhasePlace, earliest(s.placed, runs[0].left))
+		if !s.placedAt.IsZero() {
+			to(PhaseScheduling, earliest(s.placedAt.Add(-s.unplaced), runs[0].sentAt))
+			if s.unplaced > 0 {
+				to(PhaseUnplaced, earliest(s.placedAt, runs[0].sentAt))
 			}
 		}
-		to(PhaseHolder, runs[0].left)
+		to(PhaseScheduling, runs[0].sentAt)
 		for i, r := range runs {
-			to(PhaseOrder, r.answered)
+			to(PhaseOrder, r.ackedAt)
 			switch {
 			case i+1 < len(runs):
-				to(PhaseAgain, runs[i+1].left)
-			case r.how == "done":
-				if s.expect > 0 {
-					to(PhaseRun, earliest(r.ended, r.answered.Add(s.expect)))
-					to(PhaseSlow, r.ended)
+				to(PhaseRetry, runs[i+1].sentAt)
+			case r.end == "done":
+				if s.expectedTime > 0 {
+					to(PhaseRun, earliest(r.endedAt, r.ackedAt.Add(s.expectedTime)))
+					to(PhaseOverrun, r.endedAt)
 				}
-				to(PhaseRun, r.ended)
-			case !r.ended.IsZero():
-				to(PhaseAgain, r.ended)
+				to(PhaseRun, r.endedAt)
+			case !r.endedAt.IsZero():
+				to(PhaseRetry, r.endedAt)
 			}
 		}
 	}
 	return all
 }
 
-// last returns the runs of the step's task that ended last, in their order.
-func (s *step) last() []run {
+// lastTaskRuns returns the runs of the step's task that ended lastTaskRuns, in their order.
+func (s *stepInstance) lastTaskRuns() []run {
 	var best []run
 	var end time.Time
-	for _, runs := range s.tasks {
-		slices.SortStableFunc(runs, func(a, b run) int { return a.left.Compare(b.left) })
-		if e := runs[len(runs)-1].ended; best == nil || e.After(end) || e.Equal(end) && runs[0].left.Before(best[0].left) {
+	for _, runs := range s.runs {
+		slices.SortStableFunc(runs, func(a, b run) int { return a.sentAt.Compare(b.sentAt) })
+		if e := runs[len(runs)-1].endedAt; best == nil || e.After(end) || e.Equal(end) && runs[0].sentAt.Before(best[0].sentAt) {
 			best, end = runs, e
 		}
 	}
--- a/internal/proc/report/phase.go
+++ b/internal/proc/report/phase.go
@@ -7,18 +7,18 @@
 
 // The phases of a job, in the order in which they are shown.
 const (
-	PhaseRefused Phase = "refused" // from its first refusal until it was handed in again and taken
-	PhaseStore   Phase = "store"   // being stored
-	PhaseHolder  Phase = "holder"  // waiting for the holder to place it, though there was a place
-	PhasePlace   Phase = "place"   // waiting for a place
-	PhaseOrder   Phase = "order"   // a start on its way to a worker and back
-	PhaseRun     Phase = "run"     // at work, for as long as was expected
-	PhaseSlow    Phase = "slow"    // at work for longer than that
-	PhaseAgain   Phase = "again"   // runs that failed or were stopped or lost, until the next began
-	PhaseChange  Phase = "change"  // nobody held
+	PhaseRefused    Phase = "refused" // from its first refusal until it was handed in again and taken
+	PhaseStore      Phase = "store"   // being stored
+	PhaseScheduling Phase = "holder"  // waiting for the holder to place it, though there was a place
+	PhaseUnplaced   Phase = "place"   // waiting for a place
+	PhaseOrder      Phase = "order"   // a start on its way to a worker and back
+	PhaseRun        Phase = "run"     // at work, for as long as was expected
+	PhaseOverrun    Phase = "slow"    // at work for longer than that
+	PhaseRetry      Phase = "again"   // runs that failed or were stopped or lost, until the next began
+	PhaseNoHolder   Phase = "change"  // nobody held
 )
 
-var phases = []Phase{PhaseRefused, PhaseStore, PhaseHolder, PhasePlace, PhaseOrder, PhaseRun, PhaseSlow, PhaseAgain, PhaseChange}
+var phases = []Phase{PhaseRefused, PhaseStore, PhaseScheduling, PhaseUnplaced, PhaseOrder, PhaseRun, PhaseOverrun, PhaseRetry, PhaseNoHolder}
 
 // segment is a span of a job's time.
 type segment struct {
@@ -26,11 +26,11 @@
 	from, to time.Time
 }
 
-// span is a time without a holder.
-type span struct{ from, to time.Time }
+// holderGap is a time without a holder.
+type holderGap struct{ from, to time.Time }
 
-// without takes a span out of segments and returns what is left of them, with the part within as PhaseChange.
-func (s span) without(all []segment) []segment {
+// relabel takes a span out of segments and returns what is left of them, with the part within as PhaseChange.
+func (s holderGap) relabel(all []segment) []segment {
 	var out []segment
 	add := func(p Phase, from, to time.Time) {
 		if from.Before(to) {
@@ -44,7 +44,7 @@
 			continue
 		}
 		add(g.phase, g.from, from)
-		add(PhaseChange, from, to)
+		add(PhaseNoHolder, from, to)
 		add(g.phase, to, g.to)
 	}
 	return out
--- a/internal/proc/report/report_test.go
+++ b/internal/proc/report/report_test.go
@@ -9,13 +9,13 @@
 	"github.com/pkg/errors"
 	"github.com/sebdah/goldie/v2"
 
+	"bramleysail.example/bramleysail/internal/proc/joblog"
 	"bramleysail.example/bramleysail/internal/proc/report"
-	"bramleysail.example/bramleysail/internal/proc/story"
 )
 
 // A print on time; a book that is refused, waits for a place, fails once, and is late by a change of holder; a
 // feed that lasts; a print that is refused for good.
-const day = `time=2030-01-01T10:00:00.000Z level=INFO msg="took over" host=a term=1 jobs=0 workers=3 took=60ms
+const dayLog = `time=2030-01-01T10:00:00.000Z level=INFO msg="took over" host=a term=1 jobs=0 workers=3 took=60ms
 time=2030-01-01T10:00:01.000Z level=INFO msg=answer host=a verb=submit path=/q/book result=refused why="store away" version=1 took=2ms
 time=2030-01-01T10:00:01.000Z level=INFO msg=accepted host=a term=1 job=print queue=prints tasks=1 took=10ms
 time=2030-01-01T10:00:01.010Z level=INFO msg=placed host=a term=1 job=print queue=prints round=0 step=0 tasks=1 lasting=false waited=10ms lacked=0s expect=1s
@@ -38,9 +38,9 @@
 time=2030-01-01T10:00:08.130Z level=INFO msg=finished host=b term=2 job=book queue=books state=completed took=6.1s aim=3s
 `
 
-func lines(t *testing.T, log string) []story.Line {
+func readLines(t *testing.T, log string) []joblog.Line {
 	t.Helper()
-	got, bad, err := story.Read(strings.NewReader(log))
+	got, bad, err := joblog.ReadLines(strings.NewReader(log))
 	if err != nil || bad > 0 {
 		t.Fatal(bad, err)
 	}
@@ -48,14 +48,14 @@
 }
 
 func TestReport(t *testing.T) {
-	r, err := report.Of(lines(t, day), 0, 0)
+	r, err := report.New(readLines(t, dayLog), 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, write := range map[string]func(*bytes.Buffer) error{
-		"day":      func(b *bytes.Buffer) error { return r.Text(b) },
-		"day.json": func(b *bytes.Buffer) error { return r.JSON(b) },
-		"day.svg":  func(b *bytes.Buffer) error { return r.Plot(b) },
+		"day":      func(b *bytes.Buffer) error { return r.WriteText(b) },
+		"day.json": func(b *bytes.Buffer) error { return r.WriteJSON(b) },
+		"day.svg":  func(b *bytes.Buffer) error { return r.WritePlot(b) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -75,18 +75,18 @@
 		jobs     int
 		err      error
 	}{
-		{"all", day, 0, 0, 4, nil},
-		{"first seconds", day, 0, 5 * time.Second, 2, nil},
-		{"last seconds", day, 6 * time.Second, 0, 2, nil},
-		{"empty span", day, 3 * time.Second, 4 * time.Second, 0, report.ErrNone},
-		{"begins after the end", day, time.Hour, 0, 0, report.ErrNone},
-		{"ends before it begins", day, 5 * time.Second, time.Second, 0, report.ErrNone},
-		{"no lines", "", 0, 0, 0, report.ErrNone},
-		{"no line about a job", "time=2030-01-01T10:00:00.000Z level=INFO msg=start host=a\n", 0, 0, 0, report.ErrNone},
-		{"a task's name that is none", "time=2030-01-01T10:00:00.000Z msg=end task=a.b run=1\n", 0, 0, 0, report.ErrNone},
+		{"all", dayLog, 0, 0, 4, nil},
+		{"first seconds", dayLog, 0, 5 * time.Second, 2, nil},
+		{"last seconds", dayLog, 6 * time.Second, 0, 2, nil},
+		{"empty span", dayLog, 3 * time.Second, 4 * time.Second, 0, report.ErrNoData},
+		{"begins after the end", dayLog, time.Hour, 0, 0, report.ErrNoData},
+		{"ends before it begins", dayLog, 5 * time.Second, time.Second, 0, report.ErrNoData},
+		{"no lines", "", 0, 0, 0, report.ErrNoData},
+		{"no line about a job", "time=2030-01-01T10:00:00.000Z level=INFO msg=start host=a\n", 0, 0, 0, report.ErrNoData},
+		{"a task's name that is none", "time=2030-01-01T10:00:00.000Z msg=end task=a.b run=1\n", 0, 0, 0, report.ErrNoData},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r, err := report.Of(lines(t, tt.log), tt.from, tt.to)
+			r, err := report.New(readLines(t, tt.log), tt.from, tt.to)
 			if !errors.Is(err, tt.err) {
 				t.Fatalf("error %v, want %v", err, tt.err)
 			}
@@ -107,11 +107,11 @@
 // A plot of less than two seconds has no line to draw.
 func TestPlotOfOneSecond(t *testing.T) {
 	const short = "time=2030-01-01T10:00:00.500Z msg=accepted host=a term=1 job=print queue=prints tasks=1 took=10ms\n"
-	r, err := report.Of(lines(t, short), 0, 0)
+	r, err := report.New(readLines(t, short), 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Plot(&bytes.Buffer{}); !errors.Is(err, report.ErrNone) {
+	if err := r.WritePlot(&bytes.Buffer{}); !errors.Is(err, report.ErrNoData) {
 		t.Errorf("error %v, want ErrNone", err)
 	}
 }
--- a/internal/proc/report/write.go
+++ b/internal/proc/report/write.go
@@ -13,29 +13,29 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// JSON writes the report for programs.
-func (r *Report) JSON(out io.Writer) error {
+// WriteJSON writes the report for programs.
+func (r *Report) WriteJSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return errors.Wrap(e.Encode(r), "report")
 }
 
-// Text writes the report for people.
-func (r *Report) Text(out io.Writer) error {
+// WriteText writes the report for people.
+func (r *Report) WriteText(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "from %s, %s, changes of holder: %d\n\n", r.From.Format(time.RFC3339Nano), r.Length.Round(time.Millisecond), r.Changes)
+	fmt.Fprintf(w, "from %s, %s, changes of holder: %d\n\n", r.Start.Format(time.RFC3339Nano), r.Length.Round(time.Millisecond), r.HolderChanges)
 	fmt.Fprintln(w, "queue\tjobs\ton time\tlate\ttoo late\tfailed\tcancelled\topen\trefused")
 	for _, q := range r.Queues {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", q.Name, q.Jobs, q.OnTime, q.Late, q.TooLate, q.Failed, q.Ended, q.Open, q.Refused)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", q.Name, q.Jobs, q.OnTime, q.LateUseful, q.LateUseless, q.Failed, q.Cancelled, q.Unfinished, q.Refused)
 	}
 	fmt.Fprintf(w, "\nseconds of a job, on average\n")
-	r.table(w, func(q *Queue, p Phase) string { return fmt.Sprintf("%.3f", q.Seconds[p]/float64(q.Jobs)) })
+	r.writePhaseTable(w, func(q *QueueStats, p Phase) string { return fmt.Sprintf("%.3f", q.PhaseSeconds[p]/float64(q.Jobs)) })
 	fmt.Fprintf(w, "\njobs not on time, by what took most beside the work\n")
-	r.table(w, func(q *Queue, p Phase) string { return fmt.Sprint(q.Causes[p]) })
-	if len(r.Waits) > 0 {
+	r.writePhaseTable(w, func(q *QueueStats, p Phase) string { return fmt.Sprint(q.DelayCauses[p]) })
+	if len(r.UnplacedCauses) > 0 {
 		fmt.Fprintf(w, "\nsteps without a place for long\n")
 	}
-	for _, c := range r.Waits {
+	for _, c := range r.UnplacedCauses {
 		fmt.Fprintf(w, "%s\t%d\n", c.Cause, c.Steps)
 	}
 	if len(r.Refusals) > 0 {
@@ -47,8 +47,8 @@
 	return errors.Wrap(w.Flush(), "report")
 }
 
-// table writes a row a queue with a cell a phase.
-func (r *Report) table(w io.Writer, cell func(*Queue, Phase) string) {
+// writePhaseTable writes a row a queue with a cell a phase.
+func (r *Report) writePhaseTable(w io.Writer, cell func(*QueueStats, Phase) string) {
 	fmt.Fprint(w, "queue")
 	for _, p := range phases {
 		fmt.Fprintf(w, "\t%s", p)
@@ -65,25 +65,25 @@
 
 // Room around the plot, in pixels; the legend stands above it.
 const (
-	legendRoom = 50
-	margin     = 20
+	legendHeight = 50
+	margin       = 20
 )
 
-// Plot draws how many jobs are in each phase over time, as SVG. It needs a span of two seconds or more.
-func (r *Report) Plot(out io.Writer) error {
+// WritePlot draws how many jobs are in each phase over time, as SVG. It needs a span of two seconds or more.
+func (r *Report) WritePlot(out io.Writer) error {
 	if len(r.Timeline) < 2 {
-		return errors.Wrap(ErrNone, "a plot needs two seconds or more")
+		return errors.Wrap(ErrNoData, "a plot needs two seconds or more")
 	}
 	graph := chart.Chart{
-		Background: chart.Style{Padding: chart.Box{Top: legendRoom, Left: margin, Right: margin, Bottom: margin}},
+		Background: chart.Style{Padding: chart.Box{Top: legendHeight, Left: margin, Right: margin, Bottom: margin}},
 		XAxis:      chart.XAxis{Name: "seconds"},
 		YAxis:      chart.YAxis{Name: "jobs"},
 	}
 	for _, p := range phases {
 		s := chart.ContinuousSeries{Name: string(p)}
 		for _, t := range r.Timeline {
-			s.XValues = append(s.XValues, float64(t.At))
-			s.YValues = append(s.YValues, t.Seconds[p])
+			s.XValues = append(s.XValues, float64(t.Second))
+			s.YValues = append(s.YValues, t.PhaseSeconds[p])
 		}
 		graph.Series = append(graph.Series, s)
 	}
--- a/internal/proc/tool/explain.go
+++ b/internal/proc/tool/explain.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 	"github.com/urfave/cli/v3"
 
-	"bramleysail.example/bramleysail/internal/proc/story"
+	"bramleysail.example/bramleysail/internal/proc/joblog"
 )
 
 func explainCommand(out, errOut io.Writer) *cli.Command {
@@ -27,26 +27,26 @@
 			if err != nil {
 				return err
 			}
-			s, err := story.Of(c.Args().First(), lines)
+			s, err := joblog.NewHistory(c.Args().First(), lines)
 			switch {
-			case errors.Is(err, story.ErrNone):
+			case errors.Is(err, joblog.ErrJobNotFound):
 				return exitError{err, ExitInvalid}
 			case err != nil:
 				return err
 			case c.Bool("json"):
-				return s.JSON(out)
+				return s.WriteJSON(out)
 			}
-			return s.Text(out)
+			return s.WriteText(out)
 		},
 	}
 }
 
 // readLogs reads the log files, or standard input if there are none.
-func readLogs(files []string, errOut io.Writer) ([]story.Line, error) {
+func readLogs(files []string, errOut io.Writer) ([]joblog.Line, error) {
 	if len(files) == 0 {
 		return readLog("standard input", os.Stdin, errOut)
 	}
-	var all []story.Line
+	var all []joblog.Line
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
@@ -65,8 +65,8 @@
 }
 
 // readLog reads one log and reports on errOut how many of its lines are unreadable.
-func readLog(name string, in io.Reader, errOut io.Writer) ([]story.Line, error) {
-	lines, skipped, err := story.Read(in)
+func readLog(name string, in io.Reader, errOut io.Writer) ([]joblog.Line, error) {
+	lines, skipped, err := joblog.ReadLines(in)
 	if skipped > 0 {
 		fmt.Fprintf(errOut, "%s: skipped %d unreadable lines\n", name, skipped)
 	}
--- a/internal/proc/tool/report.go
+++ b/internal/proc/tool/report.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := report.Of(lines, c.Duration("from"), c.Duration("to"))
+			r, err := report.New(lines, c.Duration("from"), c.Duration("to"))
 			if err != nil {
 				return exitError{err, ExitInvalid}
 			}
@@ -39,9 +39,9 @@
 				}
 			}
 			if c.Bool("json") {
-				return r.JSON(out)
+				return r.WriteJSON(out)
 			}
-			return r.Text(out)
+			return r.WriteText(out)
 		},
 	}
 }
@@ -49,7 +49,7 @@
 // writeReportPlot writes the plot of a report to a file.
 func writeReportPlot(file string, r *report.Report) error {
 	var svg bytes.Buffer // the complete plot, so that a failed one leaves the file unchanged
-	err := r.Plot(&svg)
+	err := r.WritePlot(&svg)
 	if err == nil {
 		err = errors.Wrap(os.WriteFile(file, svg.Bytes(), 0o644), "bramleysail")
 	}
