--- a/internal/proc/demo/demo_test.go
+++ b/internal/proc/demo/demo_test.go
@@ -12,7 +12,7 @@
 )
 
 // The demo goes through its faults, keeps every promise, and leaves nothing running.
-func TestDemo(t *testing.T) {
+func TestRun(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("net/http.(*persistConn).readLoop"),
 		goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"))
 	spans := tracetest.NewSpanRecorder()
--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -26,52 +26,52 @@
 
 // Figures of the second demo.
 const (
-	hostJobs  = 8                      // in each scene
-	hostWidth = 4                      // tasks of a step
-	hostTask  = 300 * time.Millisecond // of a task
-	hostAway  = 2 * time.Second        // for which the store is away
-	hostAsk   = 2 * time.Second        // a caller's deadline
+	jobsPerScene = 8                      // in each scene
+	tasksPerStep = 4                      // tasks of a step
+	hostTaskTime = 300 * time.Millisecond // of a task
+	outageTime   = 2 * time.Second        // for which the store is away
+	callTimeout  = 2 * time.Second        // a caller's deadline
 )
 
 // hostDemo is a run of the second demo: entry hosts of which one holds, as on a platform whose
 // store keeps what must last.
 type hostDemo struct {
-	out    io.Writer
-	store  *txkv.Service
-	crew   *fleet.Fleet
-	all    []*demoHost
-	jobs   []string
-	broken []string
+	output     io.Writer
+	store      *txkv.Service
+	fleet      *fleet.Fleet
+	hosts      []*entryHost
+	jobIDs     []string
+	violations []string
 }
 
-type demoHost struct {
-	name string
-	host *front.Process
-	desk *front.Forwarder
+type entryHost struct {
+	name      string
+	process   *front.Process
+	forwarder *front.Forwarder
 
-	mu   sync.Mutex
-	mode txkv.Mode
+	mu        sync.Mutex
+	storeMode txkv.Mode
 }
 
-func (h *demoHost) set(m txkv.Mode) {
+func (h *entryHost) setStoreMode(m txkv.Mode) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.mode = m
+	h.storeMode = m
 }
 
-func (h *demoHost) get() txkv.Mode {
+func (h *entryHost) getStoreMode() txkv.Mode {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.mode
+	return h.storeMode
 }
 
 // RunHosts runs the demo of entry hosts of which one holds all jobs: jobs of two steps go on
 // while the store is away, while it turns the holder away, and while a host is stopped. It
 // shows its progress on out and returns the promises that were broken.
 func RunHosts(ctx context.Context, out io.Writer) (broken []string, err error) {
-	d := &hostDemo{out: out, store: &txkv.Service{}}
-	d.crew = fleet.New(workers, wire.Size{CPU: 16000, Mem: 64000}, rand.New(rand.NewPCG(1, 1)), func(string) (time.Duration, sched.End) {
-		return hostTask, sched.EndDone
+	d := &hostDemo{output: out, store: &txkv.Service{}}
+	d.fleet = fleet.New(workerCount, wire.Size{CPU: 16000, Mem: 64000}, rand.New(rand.NewPCG(1, 1)), func(string) (time.Duration, sched.End) {
+		return hostTaskTime, sched.EndDone
 	})
 	defer func() {
 		if serr := d.stop(); err == nil {
@@ -81,8 +81,8 @@
 	if err := d.start(); err != nil {
 		return nil, err
 	}
-	err = d.play(ctx)
-	return d.broken, err
+	err = d.runScenes(ctx)
+	return d.violations, err
 }
 
 func (d *hostDemo) start() error {
@@ -90,11 +90,11 @@
 	if err := codec.WriteConfig(d.store, sched.Config{Version: 1, Queues: []sched.Queue{queue}}); err != nil {
 		return err
 	}
-	if err := codec.WriteMembers(d.store, d.crew.Members()); err != nil {
+	if err := codec.WriteMembers(d.store, d.fleet.Members()); err != nil {
 		return err
 	}
-	for i := range entries {
-		h := &demoHost{name: fmt.Sprintf("host%d", i)}
+	for i := range entryCount {
+		h := &entryHost{name: fmt.Sprintf("host%d", i)}
 		set := conf.HostSettings{
 			Name: h.name, Zone: zones[i], MetricsAddr: "127.0.0.1:0",
 			Listen: conf.HostListen{Caller: "127.0.0.1:0", Ready: "127.0.0.1:0", Peer: "127.0.0.1:0"},
@@ -102,10 +102,10 @@
 			Bound:  conf.Bound{MaxWorkerLeaseMillis: 6000, MaxStopMillis: 200, GraceSeconds: 6, JobRetentionSeconds: 120},
 		}
 		var err error
-		h.host, err = front.Start(set, front.Adapters{
-			Store: d.store.Client(h.get), WorkerClient: d.crew.Client(func(sched.Member) bool { return false }), Codec: codec.New(),
+		h.process, err = front.Start(set, front.Adapters{
+			Store: d.store.Client(h.getStoreMode), WorkerClient: d.fleet.Client(func(sched.Member) bool { return false }), Codec: codec.New(),
 			CallerHandler: func(desk *front.Forwarder) http.Handler {
-				h.desk = desk
+				h.forwarder = desk
 				return http.NotFoundHandler()
 			},
 			ReadinessHandler: func(func() bool) http.Handler { return http.NotFoundHandler() },
@@ -113,16 +113,16 @@
 		if err != nil {
 			return err
 		}
-		d.all = append(d.all, h)
+		d.hosts = append(d.hosts, h)
 	}
 	return nil
 }
 
 func (d *hostDemo) stop() error {
 	var wg sync.WaitGroup
-	errs := make([]error, len(d.all))
-	for i, h := range d.all {
-		wg.Go(func() { errs[i] = h.host.Stop(context.Background()) })
+	errs := make([]error, len(d.hosts))
+	for i, h := range d.hosts {
+		wg.Go(func() { errs[i] = h.process.Stop(context.Background()) })
 	}
 	wg.Wait()
 	for _, err := range errs {
@@ -133,19 +133,19 @@
 	return nil
 }
 
-func (d *hostDemo) play(ctx context.Context) error {
+func (d *hostDemo) runScenes(ctx context.Context) error {
 	scenes := []struct {
 		name string
 		do   func(context.Context) error
 	}{
-		{"photo books handed in at every host", d.handIn},
-		{"the store away for all: work goes on, hand-ins are refused at once", d.away},
-		{"the store turns the holder away: another takes over", d.turnAway},
-		{"a host is stopped", d.stopOne},
-		{"every book finished, each task once", d.finish},
+		{"photo books handed in at every host", d.submitJobs},
+		{"the store away for all: work goes on, hand-ins are refused at once", d.storeOutage},
+		{"the store turns the holder away: another takes over", d.replaceHolder},
+		{"a host is stopped", d.stopHost},
+		{"every book finished, each task once", d.checkResults},
 	}
 	for i, s := range scenes {
-		fmt.Fprintf(d.out, "%d/%d %s\n", i+1, len(scenes), s.name)
+		fmt.Fprintf(d.output, "%d/%d %s\n", i+1, len(scenes), s.name)
 		if err := s.do(ctx); err != nil {
 			return err
 		}
@@ -153,13 +153,13 @@
 	return nil
 }
 
-// ask asks a host until it doesn't refuse.
-func (d *hostDemo) ask(ctx context.Context, h *demoHost, a drive.Request) (drive.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, patient)
+// callUntilAccepted asks a host until it doesn't refuse.
+func (d *hostDemo) callUntilAccepted(ctx context.Context, h *entryHost, a drive.Request) (drive.Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
-		once, end := context.WithTimeout(ctx, hostAsk)
-		rep := h.desk.Handle(once, a)
+		once, end := context.WithTimeout(ctx, callTimeout)
+		rep := h.forwarder.Handle(once, a)
 		end()
 		if rep.Result != drive.ResultRefused {
 			return rep, nil
@@ -170,87 +170,87 @@
 	}
 }
 
-func (d *hostDemo) handIn(ctx context.Context) error {
-	step := sched.Step{Count: hostWidth, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: hostTask}
+func (d *hostDemo) submitJobs(ctx context.Context) error {
+	step := sched.Step{Count: tasksPerStep, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: hostTaskTime}
 	second := step
 	second.DependsOn = []int{0}
 	data, err := json.Marshal(sched.Job{Spec: "book", Steps: []sched.Step{step, second}})
 	if err != nil {
 		return errors.Wrap(err, "demo")
 	}
-	for i := range hostJobs {
-		id := fmt.Sprintf("book%d", len(d.jobs))
-		rep, err := d.ask(ctx, d.all[i%len(d.all)], drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/" + id, Job: data})
+	for i := range jobsPerScene {
+		id := fmt.Sprintf("book%d", len(d.jobIDs))
+		rep, err := d.callUntilAccepted(ctx, d.hosts[i%len(d.hosts)], drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/" + id, Job: data})
 		if err != nil {
 			return err
 		}
 		if rep.Result != drive.ResultDone {
 			return errors.Errorf("demo: hand-in of %s: %s %s", id, rep.Result, rep.Why)
 		}
-		d.jobs = append(d.jobs, id)
+		d.jobIDs = append(d.jobIDs, id)
 	}
 	return nil
 }
 
-func (d *hostDemo) away(ctx context.Context) error {
+func (d *hostDemo) storeOutage(ctx context.Context) error {
 	d.store.SetMode(txkv.ModeBusy)
-	wait.For(ctx, hostAway)
-	once, end := context.WithTimeout(ctx, hostAsk)
+	wait.For(ctx, outageTime)
+	once, end := context.WithTimeout(ctx, callTimeout)
 	defer end()
-	rep := d.all[0].desk.Handle(once, drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/refused", Job: []byte(`{"steps":[{"count":1}]}`)})
+	rep := d.hosts[0].forwarder.Handle(once, drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/refused", Job: []byte(`{"steps":[{"count":1}]}`)})
 	if rep.Result == drive.ResultDone {
-		d.broken = append(d.broken, "a hand-in was acknowledged with the store away")
+		d.violations = append(d.violations, "a hand-in was acknowledged with the store away")
 	}
 	d.store.SetMode("")
-	return d.handIn(ctx)
+	return d.submitJobs(ctx)
 }
 
-func (d *hostDemo) turnAway(ctx context.Context) error {
-	for _, h := range d.all {
-		h.set(txkv.ModeSilent)
+func (d *hostDemo) replaceHolder(ctx context.Context) error {
+	for _, h := range d.hosts {
+		h.setStoreMode(txkv.ModeSilent)
 		d.store.RemoveKey("lead/holder")
-		wait.For(ctx, hostAway)
-		h.set("")
+		wait.For(ctx, outageTime)
+		h.setStoreMode("")
 	}
-	return d.handIn(ctx)
+	return d.submitJobs(ctx)
 }
 
-func (d *hostDemo) stopOne(context.Context) error {
-	last := len(d.all) - 1
-	h := d.all[last]
-	d.all = d.all[:last]
-	return h.host.Stop(context.Background())
+func (d *hostDemo) stopHost(context.Context) error {
+	last := len(d.hosts) - 1
+	h := d.hosts[last]
+	d.hosts = d.hosts[:last]
+	return h.process.Stop(context.Background())
 }
 
-func (d *hostDemo) finish(ctx context.Context) error {
-	for i, id := range d.jobs {
-		if err := d.await(ctx, d.all[i%len(d.all)], id); err != nil {
+func (d *hostDemo) checkResults(ctx context.Context) error {
+	for i, id := range d.jobIDs {
+		if err := d.awaitJob(ctx, d.hosts[i%len(d.hosts)], id); err != nil {
 			return err
 		}
 	}
 	// A task is begun anew where a lease lapsed, as on a machine that stood still for seconds.
-	lapsed := d.crew.ExpiredRuns() > 0
-	for task, n := range d.crew.Starts() {
+	lapsed := d.fleet.ExpiredRuns() > 0
+	for task, n := range d.fleet.Starts() {
 		if n != 1 && !lapsed {
-			d.broken = append(d.broken, fmt.Sprintf("%s was started %d times", task, n))
+			d.violations = append(d.violations, fmt.Sprintf("%s was started %d times", task, n))
 		}
 	}
-	d.broken = append(d.broken, d.crew.Violations()...)
-	fmt.Fprintf(d.out, "%d books of %d tasks finished, promises broken: %d\n", len(d.jobs), 2*hostWidth, len(d.broken))
+	d.violations = append(d.violations, d.fleet.Violations()...)
+	fmt.Fprintf(d.output, "%d books of %d tasks finished, promises broken: %d\n", len(d.jobIDs), 2*tasksPerStep, len(d.violations))
 	return nil
 }
 
-// await waits until a job is completed.
-func (d *hostDemo) await(ctx context.Context, h *demoHost, id string) error {
-	end := time.Now().Add(patient)
+// awaitJob waits until a job is completed.
+func (d *hostDemo) awaitJob(ctx context.Context, h *entryHost, id string) error {
+	end := time.Now().Add(waitTimeout)
 	for time.Now().Before(end) {
-		rep, err := d.ask(ctx, h, drive.Request{Verb: drive.VerbState, Host: "demo", Path: "/books/" + id})
+		rep, err := d.callUntilAccepted(ctx, h, drive.Request{Verb: drive.VerbState, Host: "demo", Path: "/books/" + id})
 		if err != nil {
 			return err
 		}
 		switch {
 		case rep.Result == drive.ResultNoJob:
-			d.broken = append(d.broken, id+" was acknowledged and isn't known")
+			d.violations = append(d.violations, id+" was acknowledged and isn't known")
 			return nil
 		case rep.State == sched.StateCompleted:
 			return nil
--- a/internal/proc/demo/load.go
+++ b/internal/proc/demo/load.go
@@ -18,54 +18,54 @@
 	body    string
 }
 
-// load is a number of callers that send check-ins, one after the other, each with a key
+// callerLoad is a number of callers that send check-ins, one after the other, each with a key
 // of its own; the zero value is ready.
-type load struct {
-	wg     sync.WaitGroup
-	once   sync.Once
-	stop   chan struct{}
-	client *http.Client
-
-	mu      sync.Mutex
-	addrs   []string
-	next    int
-	answers map[string]answer
-	hist    *hdrhistogram.Histogram
+type callerLoad struct {
+	wg       sync.WaitGroup
+	stopOnce sync.Once
+	stopped  chan struct{}
+	client   *http.Client
+
+	mu          sync.Mutex
+	callerAddrs []string
+	sentCount   int
+	answers     map[string]answer
+	latencies   *hdrhistogram.Histogram
 }
 
-func (l *load) start(callers int) {
-	l.stop = make(chan struct{})
+func (l *callerLoad) start(callers int) {
+	l.stopped = make(chan struct{})
 	l.answers = map[string]answer{}
-	l.hist = hdrhistogram.New(1, int64(time.Minute), 3)
+	l.latencies = hdrhistogram.New(1, int64(time.Minute), 3)
 	l.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	for range callers {
-		l.wg.Go(l.run)
+		l.wg.Go(l.runCaller)
 	}
 }
 
-func (l *load) run() {
+func (l *callerLoad) runCaller() {
 	for {
 		select {
-		case <-l.stop:
+		case <-l.stopped:
 			return
 		default:
 		}
 		l.mu.Lock()
-		l.next++
-		key, addr := fmt.Sprintf("case-%d", l.next), l.addrs[l.next%len(l.addrs)]
+		l.sentCount++
+		key, addr := fmt.Sprintf("case-%d", l.sentCount), l.callerAddrs[l.sentCount%len(l.callerAddrs)]
 		l.mu.Unlock()
 		began := time.Now()
 		a := l.send(addr, key)
 		l.mu.Lock()
 		l.answers[key] = a
 		if a.status == http.StatusOK {
-			_ = l.hist.RecordValue(int64(time.Since(began)))
+			_ = l.latencies.RecordValue(int64(time.Since(began)))
 		}
 		l.mu.Unlock()
 		if a.status != http.StatusOK {
 			t := time.NewTimer(50 * time.Millisecond)
 			select {
-			case <-l.stop:
+			case <-l.stopped:
 			case <-t.C:
 			}
 			t.Stop()
@@ -73,8 +73,8 @@
 	}
 }
 
-func (l *load) send(addr, key string) answer {
-	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/"+service+"/checkin", strings.NewReader(key))
+func (l *callerLoad) send(addr, key string) answer {
+	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/"+serviceName+"/checkin", strings.NewReader(key))
 	if err != nil {
 		return answer{}
 	}
@@ -92,30 +92,30 @@
 	return answer{resp.StatusCode, resp.Header.Get("Sail-Outcome"), string(body)}
 }
 
-// drop takes a process out of the balancer.
-func (l *load) drop(addr string) {
+// removeAddr takes a process out of the balancer.
+func (l *callerLoad) removeAddr(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var left []string
-	for _, a := range l.addrs {
+	for _, a := range l.callerAddrs {
 		if a != addr {
 			left = append(left, a)
 		}
 	}
-	l.addrs = left
+	l.callerAddrs = left
 }
 
-func (l *load) end() {
-	l.once.Do(func() {
-		if l.stop != nil {
-			close(l.stop)
+func (l *callerLoad) stop() {
+	l.stopOnce.Do(func() {
+		if l.stopped != nil {
+			close(l.stopped)
 			l.wg.Wait()
 			l.client.CloseIdleConnections()
 		}
 	})
 }
 
-func (l *load) each(f func(key string, a answer)) {
+func (l *callerLoad) forEachAnswer(f func(key string, a answer)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, a := range l.answers {
@@ -123,9 +123,9 @@
 	}
 }
 
-func (l *load) count(is func(answer) bool) int {
+func (l *callerLoad) countAnswers(is func(answer) bool) int {
 	n := 0
-	l.each(func(_ string, a answer) {
+	l.forEachAnswer(func(_ string, a answer) {
 		if is(a) {
 			n++
 		}
@@ -133,23 +133,23 @@
 	return n
 }
 
-func (l *load) answered() int {
-	return l.count(func(a answer) bool { return a.status == http.StatusOK })
+func (l *callerLoad) answeredCount() int {
+	return l.countAnswers(func(a answer) bool { return a.status == http.StatusOK })
 }
 
-func (l *load) refused() int {
-	return l.count(func(a answer) bool { return a.outcome == "not-run" })
+func (l *callerLoad) refusedCount() int {
+	return l.countAnswers(func(a answer) bool { return a.outcome == "not-run" })
 }
 
-func (l *load) unknown() int {
-	return l.count(func(a answer) bool { return a.status != http.StatusOK && a.outcome != "not-run" })
+func (l *callerLoad) unknownCount() int {
+	return l.countAnswers(func(a answer) bool { return a.status != http.StatusOK && a.outcome != "not-run" })
 }
 
-func (l *load) quantiles() (p50, p99 time.Duration) {
+func (l *callerLoad) latencyQuantiles() (p50, p99 time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	round := func(q float64) time.Duration {
-		return time.Duration(l.hist.ValueAtPercentile(q)).Round(100 * time.Microsecond)
+		return time.Duration(l.latencies.ValueAtPercentile(q)).Round(100 * time.Microsecond)
 	}
 	return round(50), round(99)
 }
--- a/internal/proc/whole/admin_test.go
+++ b/internal/proc/whole/admin_test.go
@@ -9,12 +9,12 @@
 
 // Calls of the administration API that are wrong or not allowed must get a stable code
 // and change nothing, and the token must appear in no answer and no log.
-func TestAdmin(t *testing.T) {
+func TestAdminErrors(t *testing.T) {
 	s := newSystem(t)
-	s.token = "sesame-7"
+	s.adminToken = "sesame-7"
 	e := s.addEntry()
 	call := func(method, path, token, body string) (int, string) {
-		req, err := http.NewRequest(method, "http://"+e.admin+path, strings.NewReader(body))
+		req, err := http.NewRequest(method, "http://"+e.adminAddr+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,11 +51,11 @@
 		if status != tc.status || tc.code != "" && !strings.Contains(body, `"code":"`+tc.code+`"`) {
 			t.Errorf("%s %s: %d %.200s", tc.method, tc.path, status, body)
 		}
-		if strings.Contains(body, s.token) {
+		if strings.Contains(body, s.adminToken) {
 			t.Errorf("%s %s tells the token", tc.method, tc.path)
 		}
 	}
-	if strings.Contains(e.text(), s.token) {
+	if strings.Contains(e.outputText(), s.adminToken) {
 		t.Error("the log tells the token")
 	}
 	if status, _ := call("GET", "/healthz", "", ""); status != http.StatusOK {
@@ -66,8 +66,8 @@
 // Callers send requests that are wrong, too large, or never end. Each must get a clear
 // answer that says it has not run, and nothing may reach a target.
 func TestBadRequests(t *testing.T) {
-	s := small(t, 1, 1, 2, 0)
-	addr := s.entries[0].caller
+	s := newRequestSystem(t, 1, 1, 2, 0)
+	addr := s.entries[0].callerAddr
 	for _, tc := range []struct {
 		name, path, header, value, body string
 		status                          int
@@ -89,12 +89,12 @@
 		if tc.header != "" {
 			req.Header.Set(tc.header, tc.value)
 		}
-		a := do(req)
-		if a.status != tc.status || a.code() != tc.code || a.outcome != "not-run" {
+		a := doRequest(req)
+		if a.status != tc.status || a.errorCode() != tc.code || a.outcome != "not-run" {
 			t.Errorf("%s: %+v", tc.name, a)
 		}
 	}
-	if st := s.stats(); st.Total != 0 {
+	if st := s.targetCounts(); st.Total != 0 {
 		t.Errorf("something reached the target: %+v", st)
 	}
 }
--- a/internal/proc/whole/batch_test.go
+++ b/internal/proc/whole/batch_test.go
@@ -12,7 +12,7 @@
 	"bramleysail.example/bramleysail/internal/batch/jobs"
 )
 
-func smallBatch(t *testing.T, entries, workers, racks int) *system {
+func newBatchSystem(t *testing.T, entries, workers, racks int) *system {
 	t.Helper()
 	s := newSystem(t)
 	s.addWorkers(workers, racks)
@@ -23,17 +23,17 @@
 	return s
 }
 
-func (s *system) submit(id string, n int, run time.Duration) {
+func (s *system) submitJob(id string, n int, run time.Duration) {
 	s.t.Helper()
-	s.run(0, "job", "submit", "--admin", s.entries[0].admin, "--kind", "audit", "--n", fmt.Sprint(n), "--cpu", "1000", "--run", run.String(), id)
+	s.runCommand(0, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "--n", fmt.Sprint(n), "--cpu", "1000", "--run", run.String(), id)
 }
 
-// doneOnce waits until the job is done and every result has gone out, once.
-func (s *system) doneOnce(e *entryProc, id string, n int) {
+// awaitDoneOnce waits until the job is done and every result has gone out, once.
+func (s *system) awaitDoneOnce(e *entryProcess, id string, n int) {
 	s.t.Helper()
-	eventually(s.t, "job "+id+" done", func() bool { return s.job(e, id).State == jobs.StateDone })
+	eventually(s.t, "job "+id+" done", func() bool { return s.getJob(e, id).State == jobs.StateDone })
 	out := func() map[string]int {
-		_, accepts := s.work()
+		_, accepts := s.workerCounts()
 		mine := map[string]int{}
 		for task, k := range accepts {
 			if strings.HasPrefix(task, id+"/") {
@@ -48,7 +48,7 @@
 			s.t.Errorf("the result of %s went out %d times", task, k)
 		}
 	}
-	starts, _ := s.work()
+	starts, _ := s.workerCounts()
 	for id, k := range starts {
 		if k != 1 {
 			s.t.Errorf("placement %s was started %d times", id, k)
@@ -58,28 +58,28 @@
 
 // The entry process that holds racks and buckets is killed, and another stands still for
 // longer than its lease and wakes up, while photo books are made. Each must go out once.
-func TestBatchDeaths(t *testing.T) {
-	s := smallBatch(t, 4, 6, 3)
-	s.submit("books", 150, 300*time.Millisecond)
-	eventually(t, "some done", func() bool { return s.job(s.entries[0], "books").FinishedTasks > 20 })
+func TestBatchEntryFailures(t *testing.T) {
+	s := newBatchSystem(t, 4, 6, 3)
+	s.submitJob("books", 150, 300*time.Millisecond)
+	eventually(t, "some done", func() bool { return s.getJob(s.entries[0], "books").FinishedTasks > 20 })
 	_ = s.entries[1].cmd.Process.Kill()
 	_ = s.entries[2].cmd.Process.Signal(syscall.SIGSTOP)
 	eventually(t, "two members left", func() bool { return len(s.entries[0].status().Members) == 2 })
 	_ = s.entries[2].cmd.Process.Signal(syscall.SIGCONT)
-	s.doneOnce(s.entries[0], "books", 150)
+	s.awaitDoneOnce(s.entries[0], "books", 150)
 }
 
 // An operator takes a failure domain out. Nothing may start there, what runs there goes
 // on elsewhere, and once it is back it is used again.
 func TestDomainOut(t *testing.T) {
-	s := smallBatch(t, 3, 6, 3)
-	s.submit("audits", 24, 4*time.Second)
+	s := newBatchSystem(t, 3, 6, 3)
+	s.submitJob("audits", 24, 4*time.Second)
 	running := func(zone int) int {
 		n := 0
-		for i, addr := range s.workers {
+		for i, addr := range s.workerAddrs {
 			if i%3 == zone {
 				var rep struct{ Tasks []struct{ State string } }
-				s.send(http.MethodGet, "http://"+addr+"/v1/report", nil, &rep)
+				s.sendJSON(http.MethodGet, "http://"+addr+"/v1/report", nil, &rep)
 				for _, k := range rep.Tasks {
 					if k.State == "running" {
 						n++
@@ -90,19 +90,19 @@
 		return n
 	}
 	eventually(t, "tasks in every domain", func() bool { return running(0) > 0 && running(1) > 0 && running(2) > 0 })
-	s.run(0, "domain", "out", "--admin", s.entries[2].admin, zones[1])
+	s.runCommand(0, "domain", "out", "--admin", s.entries[2].adminAddr, zones[1])
 	eventually(t, "none left there", func() bool { return running(1) == 0 })
-	there := s.startsOn(1)
-	s.submit("more", 12, 300*time.Millisecond)
-	s.doneOnce(s.entries[1], "more", 12)
-	s.doneOnce(s.entries[1], "audits", 24)
-	if n := s.startsOn(1); n != there {
+	there := s.startsOnRack(1)
+	s.submitJob("more", 12, 300*time.Millisecond)
+	s.awaitDoneOnce(s.entries[1], "more", 12)
+	s.awaitDoneOnce(s.entries[1], "audits", 24)
+	if n := s.startsOnRack(1); n != there {
 		t.Errorf("%d tasks were started in a domain that is out", n-there)
 	}
-	s.run(0, "domain", "back", "--admin", s.entries[0].admin, zones[1])
-	s.submit("again", 60, 300*time.Millisecond)
-	s.doneOnce(s.entries[2], "again", 60)
-	if s.startsOn(1) == there {
+	s.runCommand(0, "domain", "back", "--admin", s.entries[0].adminAddr, zones[1])
+	s.submitJob("again", 60, 300*time.Millisecond)
+	s.awaitDoneOnce(s.entries[2], "again", 60)
+	if s.startsOnRack(1) == there {
 		t.Error("nothing was started in the domain after it was back")
 	}
 }
@@ -110,17 +110,17 @@
 // The store goes away while audits run, for longer than every lease, and comes back.
 // What runs must run on; what finishes meanwhile is recorded later, once; nothing that
 // is submitted meanwhile is called accepted.
-func TestBatchStoreAway(t *testing.T) {
-	s := smallBatch(t, 3, 6, 3)
-	s.submit("audits", 12, 5*time.Second)
-	eventually(t, "all started", func() bool { starts, _ := s.work(); return len(starts) == 12 })
-	s.storeDown(true)
-	s.run(4, "job", "submit", "--admin", s.entries[0].admin, "--kind", "audit", "late")
+func TestBatchStoreOutage(t *testing.T) {
+	s := newBatchSystem(t, 3, 6, 3)
+	s.submitJob("audits", 12, 5*time.Second)
+	eventually(t, "all started", func() bool { starts, _ := s.workerCounts(); return len(starts) == 12 })
+	s.setStoreDown(true)
+	s.runCommand(4, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "late")
 	finished := func() int {
 		n := 0
-		for _, addr := range s.workers {
+		for _, addr := range s.workerAddrs {
 			var rep struct{ Tasks []struct{ State string } }
-			s.send(http.MethodGet, "http://"+addr+"/v1/report", nil, &rep)
+			s.sendJSON(http.MethodGet, "http://"+addr+"/v1/report", nil, &rep)
 			for _, k := range rep.Tasks {
 				if k.State == "finished" {
 					n++
@@ -130,24 +130,24 @@
 		return n
 	}
 	eventually(t, "all finished and held", func() bool { return finished() == 12 })
-	if _, accepts := s.work(); len(accepts) > 0 {
+	if _, accepts := s.workerCounts(); len(accepts) > 0 {
 		t.Errorf("results went out before they were recorded: %v", accepts)
 	}
-	s.storeDown(false)
-	s.doneOnce(s.entries[1], "audits", 12)
-	if starts, _ := s.work(); len(starts) < 12 {
+	s.setStoreDown(false)
+	s.awaitDoneOnce(s.entries[1], "audits", 12)
+	if starts, _ := s.workerCounts(); len(starts) < 12 {
 		t.Errorf("%d starts for 12 tasks", len(starts))
 	}
-	s.run(0, "job", "submit", "--admin", s.entries[0].admin, "--kind", "audit", "late")
-	s.doneOnce(s.entries[1], "late", 1)
+	s.runCommand(0, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "late")
+	s.awaitDoneOnce(s.entries[1], "late", 1)
 }
 
 // Two operators change the configuration at the same time, and a sheet drawn up before
 // one of the changes comes after it. One wins, the others are told so; nothing reverts.
-func TestOperatorsRace(t *testing.T) {
-	s := smallBatch(t, 3, 3, 3)
-	s.run(0, "domain", "out", "--admin", s.entries[0].admin, zones[0])
-	out := s.run(3, "sheet", "put", "--admin", s.entries[1].admin, "../../../examples/association.sheet.toml")
+func TestConcurrentOperators(t *testing.T) {
+	s := newBatchSystem(t, 3, 3, 3)
+	s.runCommand(0, "domain", "out", "--admin", s.entries[0].adminAddr, zones[0])
+	out := s.runCommand(3, "sheet", "put", "--admin", s.entries[1].adminAddr, "../../../examples/association.sheet.toml")
 	if !strings.Contains(out, "drawn from configuration 0, in force is 2 (out: heredia)") {
 		t.Errorf("the refusal doesn't say what has changed: %s", out)
 	}
@@ -156,7 +156,7 @@
 	for i := range 6 {
 		go func() {
 			verb, zone := "out", zones[1+i%2]
-			resp, err := http.Post("http://"+s.entries[i%3].admin+"/v1/zones/"+zone+"/"+verb, "", nil)
+			resp, err := http.Post("http://"+s.entries[i%3].adminAddr+"/v1/zones/"+zone+"/"+verb, "", nil)
 			if err != nil {
 				results <- result{}
 				return
@@ -187,19 +187,19 @@
 
 // An operator stops, with SIGTERM, a process that holds racks and buckets. Others must
 // take them over while everything runs on: no task is evicted or started again.
-func TestBatchStop(t *testing.T) {
-	s := smallBatch(t, 3, 6, 3)
-	s.submit("audits", 12, 4*time.Second)
-	eventually(t, "all started", func() bool { starts, _ := s.work(); return len(starts) == 12 })
+func TestBatchGracefulStop(t *testing.T) {
+	s := newBatchSystem(t, 3, 6, 3)
+	s.submitJob("audits", 12, 4*time.Second)
+	eventually(t, "all started", func() bool { starts, _ := s.workerCounts(); return len(starts) == 12 })
 	p := s.entries[1]
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	<-p.done
-	s.doneOnce(s.entries[0], "audits", 12)
-	if starts, _ := s.work(); len(starts) != 12 {
+	<-p.exited
+	s.awaitDoneOnce(s.entries[0], "audits", 12)
+	if starts, _ := s.workerCounts(); len(starts) != 12 {
 		t.Errorf("%d starts for 12 tasks", len(starts))
 	}
-	if p.err != nil {
-		t.Errorf("it ended with %v", p.err)
+	if p.exitErr != nil {
+		t.Errorf("it ended with %v", p.exitErr)
 	}
 }
 
@@ -213,14 +213,14 @@
 		s.addEntry()
 	}
 	s.putSheet()
-	s.settle()
-	s.send(http.MethodPost, "http://"+s.store+"/fault", struct{ Delay string }{"250ms"}, nil)
+	s.awaitOwnership()
+	s.sendJSON(http.MethodPost, "http://"+s.storeAddr+"/fault", struct{ Delay string }{"250ms"}, nil)
 	l := startLoad(s, 6)
-	s.submit("audits", 12, 300*time.Millisecond)
-	l.more(200)
-	s.doneOnce(s.entries[1], "audits", 12)
-	l.end()
-	l.check(t)
+	s.submitJob("audits", 12, 300*time.Millisecond)
+	l.awaitAnswers(200)
+	s.awaitDoneOnce(s.entries[1], "audits", 12)
+	l.stop()
+	l.checkAnswers(t)
 	for key, a := range l.answers {
 		if a.status != http.StatusOK {
 			t.Errorf("%s: %+v", key, a)
@@ -232,17 +232,17 @@
 // and an operator takes a domain out. Each write must be found to have taken effect:
 // nothing is done twice and nobody is told of a conflict that there wasn't.
 func TestStoreLosesAnswers(t *testing.T) {
-	s := smallBatch(t, 3, 6, 3)
+	s := newBatchSystem(t, 3, 6, 3)
 	lose := func(n int) {
-		s.send(http.MethodPost, "http://"+s.store+"/fault", struct{ Lose int }{n}, nil)
+		s.sendJSON(http.MethodPost, "http://"+s.storeAddr+"/fault", struct{ Lose int }{n}, nil)
 	}
 	lose(3)
-	s.run(0, "domain", "out", "--admin", s.entries[1].admin, zones[2])
+	s.runCommand(0, "domain", "out", "--admin", s.entries[1].adminAddr, zones[2])
 	for i := range 4 {
 		lose(8)
 		id := fmt.Sprint("audit-", i)
-		s.submit(id, 10, 200*time.Millisecond)
-		s.doneOnce(s.entries[2], id, 10)
+		s.submitJob(id, 10, 200*time.Millisecond)
+		s.awaitDoneOnce(s.entries[2], id, 10)
 	}
 	if c := s.entries[0].status().ConfigVersion; c != 2 {
 		t.Errorf("configuration %d after one sheet and one move", c)
@@ -251,20 +251,20 @@
 
 // A worker's host dies with audits on it, as some do every day. They must be run on
 // other workers, and the job finish.
-func TestWorkerDeath(t *testing.T) {
-	s := smallBatch(t, 3, 6, 3)
-	s.submit("audits", 18, 2*time.Second)
-	eventually(t, "most started", func() bool { starts, _ := s.work(); return len(starts) > 12 })
-	dead := s.workers[0]
-	for _, p := range s.procs {
-		if strings.Contains(p.text(), dead) && strings.Contains(p.cmd.String(), "standin worker") {
+func TestWorkerFailure(t *testing.T) {
+	s := newBatchSystem(t, 3, 6, 3)
+	s.submitJob("audits", 18, 2*time.Second)
+	eventually(t, "most started", func() bool { starts, _ := s.workerCounts(); return len(starts) > 12 })
+	dead := s.workerAddrs[0]
+	for _, p := range s.processes {
+		if strings.Contains(p.outputText(), dead) && strings.Contains(p.cmd.String(), "standin worker") {
 			_ = p.cmd.Process.Kill()
-			<-p.done
+			<-p.exited
 		}
 	}
-	s.workers = s.workers[1:]
-	eventually(t, "the job done", func() bool { return s.job(s.entries[1], "audits").State == jobs.StateDone })
-	_, accepts := s.work()
+	s.workerAddrs = s.workerAddrs[1:]
+	eventually(t, "the job done", func() bool { return s.getJob(s.entries[1], "audits").State == jobs.StateDone })
+	_, accepts := s.workerCounts()
 	for task, n := range accepts {
 		if n != 1 {
 			t.Errorf("the result of %s went out %d times", task, n)
--- a/internal/proc/whole/bench_test.go
+++ b/internal/proc/whole/bench_test.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	benchTargets = 50
-	benchSlots   = 8
-	benchWork    = 200 * time.Millisecond
-	benchSpan    = 12 * time.Second
+	benchTargets     = 50
+	benchSlots       = 8
+	benchRequestTime = 200 * time.Millisecond
+	benchDuration    = 12 * time.Second
 )
 
 // BenchmarkPath measures answer times of real processes, 9 entry processes before 50
@@ -45,37 +45,37 @@
 		b.Run(tc.name, func(b *testing.B) {
 			for range b.N {
 				s := benchSystem(b)
-				rate := tc.load * benchTargets * benchSlots / benchWork.Seconds()
+				rate := tc.load * benchTargets * benchSlots / benchRequestTime.Seconds()
 				// A quarter into each run one target in ten becomes slow.
 				slow := func(work time.Duration) {
 					if tc.slow {
 						for i := 0; i < benchTargets; i += 10 {
-							s.fault(s.targets[i], "", work)
+							s.setTargetFault(s.targetAddrs[i], "", work)
 						}
 					}
 				}
-				time.AfterFunc(benchSpan/4, func() { slow(5 * benchWork) })
-				ideal := idealRun(s, rate)
-				slow(benchWork)
-				time.AfterFunc(benchSpan/4, func() { slow(5 * benchWork) })
-				before := s.cpu()
-				alloc := s.alloc()
+				time.AfterFunc(benchDuration/4, func() { slow(5 * benchRequestTime) })
+				ideal := measureIdeal(s, rate)
+				slow(benchRequestTime)
+				time.AfterFunc(benchDuration/4, func() { slow(5 * benchRequestTime) })
+				before := s.cpuTime()
+				alloc := s.allocatedBytes()
 				if tc.kill {
-					time.AfterFunc(benchSpan/2, func() { _ = s.entries[4].cmd.Process.Kill() })
+					time.AfterFunc(benchDuration/2, func() { _ = s.entries[4].cmd.Process.Kill() })
 				}
-				own, n, failed := ownRun(s, rate, tc.kill)
+				own, n, failed := measureEntries(s, rate, tc.kill)
 				for _, at := range []float64{50, 99, 99.9} {
 					v := float64(own.ValueAtPercentile(at))
 					b.ReportMetric(v/1e6, fmt.Sprintf("p%v-ms", at))
 					b.ReportMetric(v/float64(ideal.ValueAtPercentile(at)), fmt.Sprintf("p%v/ideal", at))
 				}
 				b.ReportMetric(float64(failed), "failed")
-				b.ReportMetric(float64(s.stats().Over), "over")
+				b.ReportMetric(float64(s.targetCounts().Over), "over")
 				if !tc.kill {
-					b.ReportMetric((s.cpu()-before).Seconds()*1e6/float64(n), "cpu-us/req")
-					b.ReportMetric((s.alloc()-alloc)/float64(n), "B-alloc/req")
+					b.ReportMetric((s.cpuTime()-before).Seconds()*1e6/float64(n), "cpu-us/req")
+					b.ReportMetric((s.allocatedBytes()-alloc)/float64(n), "B-alloc/req")
 				}
-				for _, p := range s.procs {
+				for _, p := range s.processes {
 					p.kill()
 				}
 			}
@@ -85,18 +85,18 @@
 
 func benchSystem(b *testing.B) *system {
 	s := &system{t: b, dir: b.TempDir()}
-	s.boot()
-	s.addTargets(benchTargets, benchSlots, benchWork)
+	s.startStoreAndHostList()
+	s.addTargets(benchTargets, benchSlots, benchRequestTime)
 	for range 9 {
 		s.addEntry()
 	}
 	s.putSheet()
-	s.settle()
+	s.awaitOwnership()
 	return s
 }
 
-// cpu returns the processor time that the entry processes have used.
-func (s *system) cpu() time.Duration {
+// cpuTime returns the processor time that the entry processes have used.
+func (s *system) cpuTime() time.Duration {
 	var sum time.Duration
 	for _, e := range s.entries {
 		data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.cmd.Process.Pid))
@@ -111,11 +111,11 @@
 	return sum
 }
 
-// alloc returns the bytes that the entry processes have allocated.
-func (s *system) alloc() float64 {
+// allocatedBytes returns the bytes that the entry processes have allocated.
+func (s *system) allocatedBytes() float64 {
 	sum := 0.0
 	for _, e := range s.entries {
-		resp, err := http.Get("http://" + e.admin + "/metrics")
+		resp, err := http.Get("http://" + e.adminAddr + "/metrics")
 		if err != nil {
 			continue
 		}
@@ -131,12 +131,12 @@
 	return sum
 }
 
-// open calls do at random moments at the rate for the span, and waits for all of them.
-func open(rate float64, do func(n int)) {
+// runOpenLoop calls do at random moments at the rate for the span, and waits for all of them.
+func runOpenLoop(rate float64, do func(n int)) {
 	r := rand.New(rand.NewPCG(1, 2))
 	var wg sync.WaitGroup
 	next := time.Now()
-	end := next.Add(benchSpan)
+	end := next.Add(benchDuration)
 	for n := 0; next.Before(end); n++ {
 		next = next.Add(time.Duration(r.ExpFloat64() / rate * float64(time.Second)))
 		<-time.After(time.Until(next))
@@ -145,22 +145,22 @@
 	wg.Wait()
 }
 
-// idealRun measures a caller that knows every slot and queues before all of them.
-func idealRun(s *system, rate float64) *hdrhistogram.Histogram {
+// measureIdeal measures a caller that knows every slot and queues before all of them.
+func measureIdeal(s *system, rate float64) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, int64(time.Minute), 3)
 	free := make(chan string, benchTargets*benchSlots)
 	for range benchSlots {
-		for _, t := range s.targets {
+		for _, t := range s.targetAddrs {
 			free <- t
 		}
 	}
 	var mu sync.Mutex
-	open(rate, func(int) {
+	runOpenLoop(rate, func(int) {
 		came := time.Now()
 		t := <-free
 		req, _ := http.NewRequest(http.MethodGet, "http://"+t+"/ideal", nil)
 		req.Header.Set("X-Request-Id", "ideal")
-		a := do(req)
+		a := doRequest(req)
 		free <- t
 		mu.Lock()
 		defer mu.Unlock()
@@ -171,20 +171,20 @@
 	return h
 }
 
-// ownRun measures the entry processes; failed counts what wasn't answered whole.
-func ownRun(s *system, rate float64, kill bool) (h *hdrhistogram.Histogram, n, failed int) {
+// measureEntries measures the entry processes; failed counts what wasn't answered whole.
+func measureEntries(s *system, rate float64, kill bool) (h *hdrhistogram.Histogram, n, failed int) {
 	h = hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
-	open(rate, func(i int) {
+	runOpenLoop(rate, func(i int) {
 		came := time.Now()
 		e := s.entries[i%len(s.entries)]
 		select {
-		case <-e.done: // the balancer has noticed
+		case <-e.exited: // the balancer has noticed
 			e = s.entries[(i+1)%len(s.entries)]
 		default:
 		}
-		req, _ := http.NewRequest(http.MethodGet, "http://"+e.caller+"/registro/bottle", nil)
-		a := do(req)
+		req, _ := http.NewRequest(http.MethodGet, "http://"+e.callerAddr+"/registro/bottle", nil)
+		a := doRequest(req)
 		mu.Lock()
 		defer mu.Unlock()
 		n++
@@ -202,34 +202,34 @@
 func BenchmarkIdle(b *testing.B) {
 	for range b.N {
 		// The leases and rounds of the example settings, not those of the tests.
-		s := &system{t: b, dir: b.TempDir(), example: true}
-		s.boot()
+		s := &system{t: b, dir: b.TempDir(), exampleTimings: true}
+		s.startStoreAndHostList()
 		s.addTargets(10, benchSlots, time.Millisecond)
 		s.addWorkers(24, 3)
 		for range 9 {
 			s.addEntry()
 		}
 		s.putSheet()
-		s.settle()
+		s.awaitOwnership()
 		reads, writes := s.storeCalls()
-		cpu, began := s.cpu(), time.Now()
-		<-time.After(benchSpan)
+		cpu, began := s.cpuTime(), time.Now()
+		<-time.After(benchDuration)
 		span := time.Since(began).Seconds()
 		r, w := s.storeCalls()
 		b.ReportMetric(float64(r-reads)/span, "idle-reads/s")
 		b.ReportMetric(float64(w-writes)/span, "idle-writes/s")
-		b.ReportMetric(100*(s.cpu()-cpu).Seconds()/span/9, "idle-cpu-%/process")
+		b.ReportMetric(100*(s.cpuTime()-cpu).Seconds()/span/9, "idle-cpu-%/process")
 		const tasks = 6000
 		reads, writes = r, w
 		began = time.Now()
-		s.run(0, "job", "submit", "--admin", s.entries[0].admin, "--kind", "audit", "--n", fmt.Sprint(tasks), "--cpu", "250", "--mem", "100", "--run", "500ms", "bench")
-		eventually(b, "done", func() bool { return s.job(s.entries[0], "bench").State == "done" })
+		s.runCommand(0, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "--n", fmt.Sprint(tasks), "--cpu", "250", "--mem", "100", "--run", "500ms", "bench")
+		eventually(b, "done", func() bool { return s.getJob(s.entries[0], "bench").State == "done" })
 		span = time.Since(began).Seconds()
 		r, w = s.storeCalls()
 		b.ReportMetric(float64(w-writes)/tasks*1000, "writes/1000-tasks")
 		b.ReportMetric(float64(r-reads)/tasks*1000, "reads/1000-tasks")
 		b.ReportMetric(tasks/span, "tasks/s")
-		for _, p := range s.procs {
+		for _, p := range s.processes {
 			p.kill()
 		}
 	}
@@ -237,7 +237,7 @@
 
 func (s *system) storeCalls() (reads, writes int) {
 	var c struct{ Reads, Writes int }
-	s.send(http.MethodGet, "http://"+s.store+"/calls", nil, &c)
+	s.sendJSON(http.MethodGet, "http://"+s.storeAddr+"/calls", nil, &c)
 	return c.Reads, c.Writes
 }
 
@@ -247,20 +247,20 @@
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		b.Run(method, func(b *testing.B) {
 			for range b.N {
-				s := &system{t: b, dir: b.TempDir(), env: "GOMAXPROCS=1"}
-				s.boot()
+				s := &system{t: b, dir: b.TempDir(), entryEnv: "GOMAXPROCS=1"}
+				s.startStoreAndHostList()
 				s.addTargets(10, benchSlots, time.Millisecond)
 				s.addEntry()
 				s.putSheet()
-				s.settle()
-				cpu, alloc, began := s.cpu(), s.alloc(), time.Now()
+				s.awaitOwnership()
+				cpu, alloc, began := s.cpuTime(), s.allocatedBytes(), time.Now()
 				var done atomic.Int64
 				var wg sync.WaitGroup
 				for range 64 {
 					wg.Go(func() {
-						for time.Since(began) < benchSpan/2 {
-							req, _ := http.NewRequest(method, "http://"+s.entries[0].caller+"/registro/bottle", strings.NewReader("bottle"))
-							if a := do(req); a.status == http.StatusOK {
+						for time.Since(began) < benchDuration/2 {
+							req, _ := http.NewRequest(method, "http://"+s.entries[0].callerAddr+"/registro/bottle", strings.NewReader("bottle"))
+							if a := doRequest(req); a.status == http.StatusOK {
 								done.Add(1)
 							}
 						}
@@ -269,9 +269,9 @@
 				wg.Wait()
 				n := float64(done.Load())
 				b.ReportMetric(n/time.Since(began).Seconds(), "req/s")
-				b.ReportMetric((s.cpu()-cpu).Seconds()*1e6/n, "cpu-us/req")
-				b.ReportMetric((s.alloc()-alloc)/n, "B-alloc/req")
-				for _, p := range s.procs {
+				b.ReportMetric((s.cpuTime()-cpu).Seconds()*1e6/n, "cpu-us/req")
+				b.ReportMetric((s.allocatedBytes()-alloc)/n, "B-alloc/req")
+				for _, p := range s.processes {
 					p.kill()
 				}
 			}
@@ -285,44 +285,44 @@
 	const lease = 2 * time.Second
 	for range b.N {
 		s := &system{t: b, dir: b.TempDir()}
-		s.boot()
+		s.startStoreAndHostList()
 		s.addWorkers(6, 3)
 		for range 3 {
 			s.addEntry()
 		}
 		s.putSheet()
-		s.run(0, "job", "submit", "--admin", s.entries[0].admin, "--kind", "audit", "--n", "5000", "--cpu", "1000", "--mem", "100", "--run", "100ms", "bench")
-		var victim *entryProc
+		s.runCommand(0, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "--n", "5000", "--cpu", "1000", "--mem", "100", "--run", "100ms", "bench")
+		var victim *entryProcess
 		eventually(b, "tasks on a rack of another process", func() bool {
 			for _, e := range s.entries[1:] {
-				if slices.Contains(e.status().Racks, "rack0") && s.startsOn(0) > 20 {
+				if slices.Contains(e.status().Racks, "rack0") && s.startsOnRack(0) > 20 {
 					victim = e
 				}
 			}
-			return victim != nil || slices.Contains(s.entries[0].status().Racks, "rack0") && s.startsOn(0) > 20
+			return victim != nil || slices.Contains(s.entries[0].status().Racks, "rack0") && s.startsOnRack(0) > 20
 		})
 		if victim == nil {
 			victim = s.entries[0]
 		}
 		_ = victim.cmd.Process.Kill()
-		<-victim.done
+		<-victim.exited
 		died := time.Now()
-		before := s.startsOn(0)
-		eventually(b, "a start on the rack", func() bool { return s.startsOn(0) > before })
+		before := s.startsOnRack(0)
+		eventually(b, "a start on the rack", func() bool { return s.startsOnRack(0) > before })
 		b.ReportMetric(time.Since(died).Seconds()/lease.Seconds(), "leases")
-		for _, p := range s.procs {
+		for _, p := range s.processes {
 			p.kill()
 		}
 	}
 }
 
-// startsOn returns how many tasks were started on the workers of a rack.
-func (s *system) startsOn(rack int) int {
+// startsOnRack returns how many tasks were started on the workers of a rack.
+func (s *system) startsOnRack(rack int) int {
 	n := 0
-	for i, addr := range s.workers {
+	for i, addr := range s.workerAddrs {
 		if i%3 == rack {
 			var st workerStats
-			s.send(http.MethodGet, "http://"+addr+"/stats", nil, &st)
+			s.sendJSON(http.MethodGet, "http://"+addr+"/stats", nil, &st)
 			n += len(st.Starts)
 		}
 	}
@@ -335,32 +335,32 @@
 	const keys = 40000
 	for range b.N {
 		s := &system{t: b, dir: b.TempDir()}
-		s.boot()
+		s.startStoreAndHostList()
 		s.addTargets(10, benchSlots, 0)
 		s.addEntry()
 		s.putSheet()
-		s.settle()
-		before := s.entries[0].resident()
+		s.awaitOwnership()
+		before := s.entries[0].residentBytes()
 		var next atomic.Int64
 		var wg sync.WaitGroup
 		for range 32 {
 			wg.Go(func() {
 				for n := next.Add(1); n <= keys; n = next.Add(1) {
-					post(s.entries[0].caller, fmt.Sprintf("case-%08d", n), "bottle")
+					postCheckin(s.entries[0].callerAddr, fmt.Sprintf("case-%08d", n), "bottle")
 				}
 			})
 		}
 		wg.Wait()
 		b.ReportMetric(before/(1<<20), "idle-MiB")
-		b.ReportMetric((s.entries[0].resident()-before)/keys, "B/key")
-		for _, p := range s.procs {
+		b.ReportMetric((s.entries[0].residentBytes()-before)/keys, "B/key")
+		for _, p := range s.processes {
 			p.kill()
 		}
 	}
 }
 
-// resident returns a process's resident memory in bytes.
-func (e *entryProc) resident() float64 {
+// residentBytes returns a process's residentBytes memory in bytes.
+func (e *entryProcess) residentBytes() float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", e.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -373,14 +373,14 @@
 // goes on getting new requests, by each way in which it becomes known.
 func BenchmarkLeave(b *testing.B) {
 	for range b.N {
-		s := &system{t: b, dir: b.TempDir(), example: true}
-		s.boot()
+		s := &system{t: b, dir: b.TempDir(), exampleTimings: true}
+		s.startStoreAndHostList()
 		s.addTargets(3, benchSlots, time.Millisecond)
 		for range 3 {
 			s.addEntry()
 		}
 		s.putSheet()
-		s.settle()
+		s.awaitOwnership()
 		l := startLoad(s, 6)
 		for _, way := range []struct {
 			name   string
@@ -391,24 +391,24 @@
 				s.setHost(hosts.Host{Addr: addr, Kind: hosts.KindTarget, Zone: zones[0], Service: "registro", State: hosts.StateLeaving})
 			}},
 			{"own-word", 1, func(addr string) {
-				s.send(http.MethodPost, "http://"+addr+"/fault", struct{ Leaving bool }{true}, nil)
+				s.sendJSON(http.MethodPost, "http://"+addr+"/fault", struct{ Leaving bool }{true}, nil)
 			}},
 		} {
-			l.more(300)
-			way.leave(s.targets[way.target])
+			l.awaitAnswers(300)
+			way.leave(s.targetAddrs[way.target])
 			left := time.Now()
 			last, total := left, -1
 			for time.Since(last) < time.Second {
 				var st targetStats
-				s.send(http.MethodGet, "http://"+s.targets[way.target]+"/stats", nil, &st)
+				s.sendJSON(http.MethodGet, "http://"+s.targetAddrs[way.target]+"/stats", nil, &st)
 				if st.Total != total {
 					last, total = time.Now(), st.Total
 				}
 			}
 			b.ReportMetric(last.Sub(left).Seconds(), way.name+"-s")
 		}
-		l.end()
-		for _, p := range s.procs {
+		l.stop()
+		for _, p := range s.processes {
 			p.kill()
 		}
 	}
--- a/internal/proc/whole/procs_test.go
+++ b/internal/proc/whole/harness_test.go
@@ -21,15 +21,15 @@
 	"bramleysail.example/bramleysail/internal/proc/node"
 )
 
-var binary string
+var binaryPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "bramleysail")
 	if err != nil {
 		panic(err)
 	}
-	binary = filepath.Join(dir, "bramleysail")
-	if out, err := exec.Command("go", "build", "-o", binary, "../../../cmd/bramleysail").CombinedOutput(); err != nil {
+	binaryPath = filepath.Join(dir, "bramleysail")
+	if out, err := exec.Command("go", "build", "-o", binaryPath, "../../../cmd/bramleysail").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
@@ -37,28 +37,28 @@
 	os.Exit(code)
 }
 
-// proc is a process of the system or a stand-in.
-type proc struct {
-	t    testing.TB
-	cmd  *exec.Cmd
-	line chan string // the first line of output that matches
-	done chan struct{}
+// process is a process of the system or a stand-in.
+type process struct {
+	t           testing.TB
+	cmd         *exec.Cmd
+	matchedLine chan string // the first line of output that matches
+	exited      chan struct{}
 
-	mu  sync.Mutex
-	log bytes.Buffer
-	err error
+	mu      sync.Mutex
+	output  bytes.Buffer
+	exitErr error
 }
 
-// start runs the command and waits for a line of output that matches.
-func start(t testing.TB, match string, args ...string) (*proc, []string) {
+// startProcess runs the command and waits for a line of output that matches.
+func startProcess(t testing.TB, match string, args ...string) (*process, []string) {
 	t.Helper()
-	return startWith(t, "", match, args...)
+	return startProcessEnv(t, "", match, args...)
 }
 
-// startWith is start with an addition to the environment.
-func startWith(t testing.TB, env, match string, args ...string) (*proc, []string) {
+// startProcessEnv is start with an addition to the environment.
+func startProcessEnv(t testing.TB, env, match string, args ...string) (*process, []string) {
 	t.Helper()
-	p := &proc{t: t, cmd: exec.Command(binary, args...), line: make(chan string, 1), done: make(chan struct{})}
+	p := &process{t: t, cmd: exec.Command(binaryPath, args...), matchedLine: make(chan string, 1), exited: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env)
 	r, w := io.Pipe()
 	p.cmd.Stdout, p.cmd.Stderr = w, w
@@ -66,33 +66,33 @@
 		t.Fatal(err)
 	}
 	re := regexp.MustCompile(match)
-	go p.read(r, re)
+	go p.readOutput(r, re)
 	go func() {
-		p.err = p.cmd.Wait()
+		p.exitErr = p.cmd.Wait()
 		_ = w.Close()
-		close(p.done)
+		close(p.exited)
 	}()
 	t.Cleanup(p.kill)
 	select {
-	case l := <-p.line:
+	case l := <-p.matchedLine:
 		return p, re.FindStringSubmatch(l)
-	case <-p.done:
-	case <-time.After(patience):
+	case <-p.exited:
+	case <-time.After(waitTimeout):
 	}
-	t.Fatalf("%v did not start:\n%s", args, p.text())
+	t.Fatalf("%v did not start:\n%s", args, p.outputText())
 	return nil, nil
 }
 
-func (p *proc) read(r io.Reader, re *regexp.Regexp) {
+func (p *process) readOutput(r io.Reader, re *regexp.Regexp) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, 1<<20)
 	for s.Scan() {
 		p.mu.Lock()
-		p.log.WriteString(s.Text() + "\n")
+		p.output.WriteString(s.Text() + "\n")
 		p.mu.Unlock()
 		if re.MatchString(s.Text()) {
 			select {
-			case p.line <- s.Text():
+			case p.matchedLine <- s.Text():
 			default:
 			}
 		}
@@ -100,28 +100,28 @@
 	_, _ = io.Copy(io.Discard, r)
 }
 
-func (p *proc) text() string {
+func (p *process) outputText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.log.String()
+	return p.output.String()
 }
 
-func (p *proc) kill() {
+func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
-	<-p.done
+	<-p.exited
 	if p.t.Failed() {
-		p.t.Logf("%v\n%s", p.cmd.Args[1:], p.text())
+		p.t.Logf("%v\n%s", p.cmd.Args[1:], p.outputText())
 	}
 }
 
-// patience is how long a test waits for something that has to happen; no verdict
+// waitTimeout is how long a test waits for something that has to happen; no verdict
 // depends on how long it takes.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // eventually waits until cond holds.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -134,76 +134,76 @@
 	}
 }
 
-// entryProc is a serving process.
-type entryProc struct {
-	*proc
-	caller, admin string
+// entryProcess is a serving process.
+type entryProcess struct {
+	*process
+	callerAddr, adminAddr string
 }
 
 // system is a small deployment: stand-ins and serving processes.
 type system struct {
-	t       testing.TB
-	procs   []*proc
-	dir     string
-	store   string
-	hosts   string
-	targets []string
-	slots   int
-	example bool   // the default leases and rounds
-	token   string // of the administration API
-	env     string // added to the environment of entry processes
-	workers []string
-	entries []*entryProc
+	t              testing.TB
+	processes      []*process
+	dir            string
+	storeAddr      string
+	hostListAddr   string
+	targetAddrs    []string
+	slotsPerTarget int
+	exampleTimings bool   // the default leases and rounds
+	adminToken     string // of the administration API
+	entryEnv       string // added to the environment of entry processes
+	workerAddrs    []string
+	entries        []*entryProcess
 }
 
 var zones = []string{"heredia", "cartago", "escazu"}
 
 func newSystem(t *testing.T) *system {
 	s := &system{t: t, dir: t.TempDir()}
-	s.boot()
+	s.startStoreAndHostList()
 	return s
 }
 
-// boot starts the stand-ins that there is one of.
-func (s *system) boot() {
-	s.store = s.standin("store")
-	s.hosts = s.standin("hosts")
+// startStoreAndHostList starts the stand-ins that there is one of.
+func (s *system) startStoreAndHostList() {
+	s.storeAddr = s.startStandin("store")
+	s.hostListAddr = s.startStandin("hosts")
 }
 
-// standin starts a stand-in and returns its address.
-func (s *system) standin(args ...string) string {
+// startStandin starts a stand-in and returns its address.
+func (s *system) startStandin(args ...string) string {
 	s.t.Helper()
-	p, m := start(s.t, `listening (\S+)`, append([]string{"standin"}, args...)...)
-	s.procs = append(s.procs, p)
+	p, m := startProcess(s.t, `listening (\S+)`, append([]string{"standin"}, args...)...)
+	s.processes = append(s.processes, p)
 	return m[1]
 }
 
 func (s *system) addTargets(n, slots int, work time.Duration) {
-	s.slots = slots
+	s.slotsPerTarget = slots
 	for range n {
-		addr := s.standin("target", "--slots", fmt.Sprint(slots), "--work", work.String())
-		s.setHost(hosts.Host{Addr: addr, Kind: hosts.KindTarget, Zone: zones[len(s.targets)%3], Service: "registro", State: hosts.StateLive})
-		s.targets = append(s.targets, addr)
+		addr := s.startStandin("target", "--slots", fmt.Sprint(slots), "--work", work.String())
+		s.setHost(hosts.Host{Addr: addr, Kind: hosts.KindTarget, Zone: zones[len(s.targetAddrs)%3], Service: "registro", State: hosts.StateLive})
+		s.targetAddrs = append(s.targetAddrs, addr)
 	}
 }
 
 func (s *system) addWorkers(n, racks int) {
 	for i := range n {
-		addr := s.standin("worker", "--cpu", "4000", "--mem", "8000", "--lag", "100ms")
+		addr := s.startStandin("worker", "--cpu", "4000", "--mem", "8000", "--lag", "100ms")
 		rack := i % racks
 		s.setHost(hosts.Host{Addr: addr, Kind: hosts.KindWorker, Zone: zones[rack%3], Rack: fmt.Sprintf("rack%d", rack), State: hosts.StateLive})
-		s.workers = append(s.workers, addr)
+		s.workerAddrs = append(s.workerAddrs, addr)
 	}
 }
 
 // workerStats is what the workers counted: starts and results let out, by task.
 type workerStats struct{ Starts, Accepts map[string]int }
 
-func (s *system) work() (starts, accepts map[string]int) {
+func (s *system) workerCounts() (starts, accepts map[string]int) {
 	starts, accepts = map[string]int{}, map[string]int{}
-	for _, addr := range s.workers {
+	for _, addr := range s.workerAddrs {
 		var st workerStats
-		s.send(http.MethodGet, "http://"+addr+"/stats", nil, &st)
+		s.sendJSON(http.MethodGet, "http://"+addr+"/stats", nil, &st)
 		for id, n := range st.Starts {
 			starts[id] += n
 		}
@@ -215,19 +215,19 @@
 	return starts, accepts
 }
 
-// job returns a job as an entry process shows it.
-func (s *system) job(e *entryProc, id string) node.JobView {
+// getJob returns a getJob as an entry process shows it.
+func (s *system) getJob(e *entryProcess, id string) node.JobView {
 	var v node.JobView
-	s.send(http.MethodGet, "http://"+e.admin+"/v1/jobs/"+id, nil, &v)
+	s.sendJSON(http.MethodGet, "http://"+e.adminAddr+"/v1/jobs/"+id, nil, &v)
 	return v
 }
 
 func (s *system) setHost(h hosts.Host) {
 	s.t.Helper()
-	s.send(http.MethodPut, "http://"+s.hosts+"/", h, nil)
+	s.sendJSON(http.MethodPut, "http://"+s.hostListAddr+"/", h, nil)
 }
 
-const settings = `
+const settingsTemplate = `
 name = "e%d"
 zone = "%s"
 [listen]
@@ -251,28 +251,28 @@
 buckets = 4
 `
 
-func (s *system) addEntry() *entryProc {
+func (s *system) addEntry() *entryProcess {
 	n := len(s.entries)
 	file := filepath.Join(s.dir, fmt.Sprintf("e%d.toml", n))
-	text := fmt.Sprintf(settings, n, zones[n%3], s.store, s.hosts)
-	if s.token != "" {
-		text += fmt.Sprintf("[admin]\ntoken = %q\n", s.token)
+	text := fmt.Sprintf(settingsTemplate, n, zones[n%3], s.storeAddr, s.hostListAddr)
+	if s.adminToken != "" {
+		text += fmt.Sprintf("[admin]\ntoken = %q\n", s.adminToken)
 	}
-	if s.example {
+	if s.exampleTimings {
 		text = strings.NewReplacer("500ms", "1s", "2s", "6s", "50ms", "200ms", "buckets = 4", "buckets = 16").Replace(text)
 	}
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	p, m := startWith(s.t, s.env, `msg=serving .*caller=(\S+) .*admin=(\S+)`, "serve", "--settings", file)
-	s.procs = append(s.procs, p)
-	e := &entryProc{p, m[1], m[2]}
+	p, m := startProcessEnv(s.t, s.entryEnv, `msg=serving .*caller=(\S+) .*admin=(\S+)`, "serve", "--settings", file)
+	s.processes = append(s.processes, p)
+	e := &entryProcess{p, m[1], m[2]}
 	s.entries = append(s.entries, e)
 	return e
 }
 
-func (e *entryProc) ready() bool {
-	resp, err := http.Get("http://" + e.admin + "/readyz")
+func (e *entryProcess) isReady() bool {
+	resp, err := http.Get("http://" + e.adminAddr + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -280,9 +280,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (e *entryProc) status() node.Status {
+func (e *entryProcess) status() node.Status {
 	var s node.Status
-	resp, err := http.Get("http://" + e.admin + "/v1/status")
+	resp, err := http.Get("http://" + e.adminAddr + "/v1/status")
 	if err != nil {
 		return s
 	}
@@ -291,28 +291,28 @@
 	return s
 }
 
-// owned returns how many targets the process owns.
-func (e *entryProc) owned() int {
+// ownedTargets returns how many targets the process owns.
+func (e *entryProcess) ownedTargets() int {
 	return len(e.status().Services["registro"].Targets)
 }
 
-// settle waits until every process is ready and every target is owned once.
-func (s *system) settle() {
+// awaitOwnership waits until every process is ready and every target is owned once.
+func (s *system) awaitOwnership() {
 	s.t.Helper()
 	eventually(s.t, "all targets owned", func() bool {
 		sum := 0
 		for _, e := range s.entries {
 			select {
-			case <-e.done:
+			case <-e.exited:
 				continue
 			default:
 			}
-			if !e.ready() {
+			if !e.isReady() {
 				return false
 			}
-			sum += e.owned()
+			sum += e.ownedTargets()
 		}
-		return sum == len(s.targets)
+		return sum == len(s.targetAddrs)
 	})
 }
 
@@ -324,18 +324,18 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	text := strings.Replace(string(data), "slots = 8", fmt.Sprintf("slots = %d", max(s.slots, 1)), 1)
+	text := strings.Replace(string(data), "slots = 8", fmt.Sprintf("slots = %d", max(s.slotsPerTarget, 1)), 1)
 	file := filepath.Join(s.dir, "sheet.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	s.run(0, "sheet", "put", "--admin", s.entries[0].admin, file)
+	s.runCommand(0, "sheet", "put", "--admin", s.entries[0].adminAddr, file)
 }
 
-// run runs a command of the command line to its end and checks its exit code.
-func (s *system) run(code int, args ...string) string {
+// runCommand runs a command of the command line to its end and checks its exit code.
+func (s *system) runCommand(code int, args ...string) string {
 	s.t.Helper()
-	c := exec.Command(binary, args...)
+	c := exec.Command(binaryPath, args...)
 	out, _ := c.CombinedOutput()
 	if got := c.ProcessState.ExitCode(); got != code {
 		s.t.Fatalf("%v: exit code %d, not %d:\n%s", args, got, code, out)
@@ -343,7 +343,7 @@
 	return string(out)
 }
 
-func (s *system) send(method, url string, body, out any) {
+func (s *system) sendJSON(method, url string, body, out any) {
 	s.t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -368,11 +368,11 @@
 // targetStats is what a target counted.
 type targetStats struct{ Peak, Conns, Over, Total, Twice int }
 
-func (s *system) stats() targetStats {
+func (s *system) targetCounts() targetStats {
 	var sum targetStats
-	for _, addr := range s.targets {
+	for _, addr := range s.targetAddrs {
 		var st targetStats
-		s.send(http.MethodGet, "http://"+addr+"/stats", nil, &st)
+		s.sendJSON(http.MethodGet, "http://"+addr+"/stats", nil, &st)
 		sum.Total += st.Total
 		sum.Over += st.Over
 		sum.Twice += st.Twice
@@ -390,17 +390,17 @@
 	err     error
 }
 
-// code returns the stable code of an answer of the system's own.
-func (a answer) code() string {
+// errorCode returns the stable errorCode of an answer of the system's own.
+func (a answer) errorCode() string {
 	var body struct{ Code string }
 	_ = json.Unmarshal([]byte(a.body), &body)
 	return body.Code
 }
 
-var caller = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
+var callerClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 
-// post sends a check-in with the key.
-func post(addr, key, body string) answer {
+// postCheckin sends a check-in with the key.
+func postCheckin(addr, key, body string) answer {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/registro/checkin", strings.NewReader(body))
 	if err != nil {
 		return answer{err: err}
@@ -410,11 +410,11 @@
 	}
 	// Without this the caller's own transport would repeat the request by itself.
 	req.GetBody = nil
-	return do(req)
+	return doRequest(req)
 }
 
-func do(req *http.Request) answer {
-	resp, err := caller.Do(req)
+func doRequest(req *http.Request) answer {
+	resp, err := callerClient.Do(req)
 	if err != nil {
 		return answer{err: err}
 	}
--- a/internal/proc/whole/load_test.go
+++ b/internal/proc/whole/load_test.go
@@ -9,70 +9,70 @@
 	"time"
 )
 
-// load sends check-ins, each with a key of its own, until it is stopped.
-type load struct {
-	s       *system
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	next    atomic.Int64
-	mu      sync.Mutex
-	answers map[string]answer
-	addrs   []string // of the processes that the balancer sends to
+// callerLoad sends check-ins, each with a key of its own, until it is stopped.
+type callerLoad struct {
+	system      *system
+	stopped     chan struct{}
+	wg          sync.WaitGroup
+	sentCount   atomic.Int64
+	mu          sync.Mutex
+	answers     map[string]answer
+	callerAddrs []string // of the processes that the balancer sends to
 }
 
 // startLoad begins n callers in a closed loop over the processes.
-func startLoad(s *system, n int) *load {
-	l := &load{s: s, stop: make(chan struct{}), answers: map[string]answer{}}
+func startLoad(s *system, n int) *callerLoad {
+	l := &callerLoad{system: s, stopped: make(chan struct{}), answers: map[string]answer{}}
 	for _, e := range s.entries {
-		l.addrs = append(l.addrs, e.caller)
+		l.callerAddrs = append(l.callerAddrs, e.callerAddr)
 	}
 	for range n {
-		l.wg.Go(l.run)
+		l.wg.Go(l.runCaller)
 	}
 	return l
 }
 
-func (l *load) run() {
+func (l *callerLoad) runCaller() {
 	for {
 		select {
-		case <-l.stop:
+		case <-l.stopped:
 			return
 		default:
 		}
-		n := l.next.Add(1)
+		n := l.sentCount.Add(1)
 		key := fmt.Sprintf("case-%d", n)
 		l.mu.Lock()
-		addr := l.addrs[int(n)%len(l.addrs)]
+		addr := l.callerAddrs[int(n)%len(l.callerAddrs)]
 		l.mu.Unlock()
-		a := post(addr, key, key)
+		a := postCheckin(addr, key, key)
 		l.mu.Lock()
 		l.answers[key] = a
 		l.mu.Unlock()
 		if a.status == http.StatusServiceUnavailable {
 			// A caller that is told when to come back does so, if not quite as late.
 			select {
-			case <-l.stop:
+			case <-l.stopped:
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
 	}
 }
 
-// drop takes a process out of the balancer.
-func (l *load) drop(addr string) {
+// removeAddr takes a process out of the balancer.
+func (l *callerLoad) removeAddr(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var left []string
-	for _, a := range l.addrs {
+	for _, a := range l.callerAddrs {
 		if a != addr {
 			left = append(left, a)
 		}
 	}
-	l.addrs = left
+	l.callerAddrs = left
 }
 
-// ok returns how many were answered whole so far.
-func (l *load) ok() int {
+// okCount returns how many were answered whole so far.
+func (l *callerLoad) okCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -84,34 +84,34 @@
 	return n
 }
 
-// more waits until n more are answered.
-func (l *load) more(n int) {
-	l.s.t.Helper()
-	from := l.ok()
-	eventually(l.s.t, fmt.Sprintf("%d more answers", n), func() bool { return l.ok() >= from+n })
+// awaitAnswers waits until n awaitAnswers are answered.
+func (l *callerLoad) awaitAnswers(n int) {
+	l.system.t.Helper()
+	from := l.okCount()
+	eventually(l.system.t, fmt.Sprintf("%d more answers", n), func() bool { return l.okCount() >= from+n })
 }
 
-func (l *load) end() {
-	close(l.stop)
+func (l *callerLoad) stop() {
+	close(l.stopped)
 	l.wg.Wait()
 }
 
-// check holds the answers against what the targets ran: no key twice, no answer that
+// checkAnswers holds the answers against what the targets ran: no key twice, no answer that
 // isn't the request's own, nothing "not run" that ran, nothing "done" that didn't,
 // and no target ever with more than its slots.
-func (l *load) check(t *testing.T) {
+func (l *callerLoad) checkAnswers(t *testing.T) {
 	t.Helper()
 	runs := map[string]int{}
-	for _, addr := range l.s.targets {
+	for _, addr := range l.system.targetAddrs {
 		var here map[string]int
-		l.s.send(http.MethodGet, "http://"+addr+"/runs", nil, &here)
+		l.system.sendJSON(http.MethodGet, "http://"+addr+"/runs", nil, &here)
 		for k, n := range here {
 			runs[k] += n
 		}
 	}
 	codes := map[string]int{}
 	for key, a := range l.answers {
-		codes[fmt.Sprintf("%d %s %s", a.status, a.outcome, a.code())]++
+		codes[fmt.Sprintf("%d %s %s", a.status, a.outcome, a.errorCode())]++
 		switch {
 		case runs[key] > 1:
 			t.Errorf("%s ran %d times: %+v", key, runs[key], a)
@@ -121,7 +121,7 @@
 			t.Errorf("%s ran and was answered %+v", key, a)
 		}
 	}
-	st := l.s.stats()
+	st := l.system.targetCounts()
 	if st.Over != 0 {
 		t.Errorf("%d requests reached a target whose slots were all busy", st.Over)
 	}
