--- a/internal/proc/joblog/doc.go
+++ b/internal/proc/joblog/doc.go
@@ -1,2 +1,3 @@
-// Package story tells from log lines, of any number of hosts, what became of a job and why.
+// Package joblog reads the logs of any number of hosts and rebuilds from them what happened to a job and what
+// delayed it.
 package joblog
--- a/internal/proc/joblog/history_test.go
+++ b/internal/proc/joblog/history_test.go
@@ -11,9 +11,8 @@
 	"bramleysail.example/bramleysail/internal/proc/joblog"
 )
 
-// A firstHostLog of two steps: one task fails and is begun again, one is slowed and moved, the second
-// step waits for a place, and the holder changes meanwhile. The lines come from two hosts, one
-// of whose collectors puts its own time before each.
+// firstHostLog is the log of the first of two hosts. The job "book" has two steps: one task fails and is started again,
+// another is throttled and moved, the second step is unplaced for a while, and the holder changes meanwhile.
 const firstHostLog = `time=2030-01-01T10:00:00.000Z level=INFO msg=holder host=a term=1
 time=2030-01-01T10:00:01.000Z level=INFO msg=accepted host=a term=1 job=book queue=q tasks=3 took=7ms
 time=2030-01-01T10:00:01.010Z level=INFO msg=order host=a term=1 verb=start task=book.0.0.0 run=1000001 worker=w1 pace=0 outcome=done took=4ms
@@ -27,6 +26,7 @@
 time=2030-01-01T10:00:03.200Z level=INFO msg=end host=a term=1 task=book.0.0.1 run=1000001 how=stopped worker=w2 seq=5
 `
 
+// secondHostLog continues the log on the second host, whose log collector puts a prefix before each line.
 const secondHostLog = `12.5 b time=2030-01-01T10:00:04.000Z level=INFO msg="took over" host=b term=2 jobs=2 workers=3 took=60ms
 12.6 b time=2030-01-01T10:00:04.100Z level=INFO msg=order host=b term=2 verb=start task=book.0.0.1 run=2000001 worker=w3 pace=0 outcome=done took=4ms
 12.7 b time=2030-01-01T10:00:04.200Z level=INFO msg=answer host=b verb=state path=/q/book result=refused why="holder doesn't answer" version=3 took=890ms
@@ -52,24 +52,24 @@
 }
 
 func TestText(t *testing.T) {
-	s, err := joblog.NewHistory("book", readLines(t))
+	h, err := joblog.NewHistory("book", readLines(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := s.WriteText(&out); err != nil {
+	if err := h.WriteText(&out); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "book", out.Bytes())
 }
 
 func TestJSON(t *testing.T) {
-	s, err := joblog.NewHistory("book", readLines(t))
+	h, err := joblog.NewHistory("book", readLines(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := s.WriteJSON(&out); err != nil {
+	if err := h.WriteJSON(&out); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "book.json", out.Bytes())
@@ -77,13 +77,13 @@
 
 func TestJobNotFound(t *testing.T) {
 	if _, err := joblog.NewHistory("boo", readLines(t)); !errors.Is(err, joblog.ErrJobNotFound) {
-		t.Errorf("error %v, want ErrNone", err)
+		t.Errorf("error %v, want ErrJobNotFound", err)
 	}
 }
 
 func TestReadLinesCountsUnreadable(t *testing.T) {
-	got, bad, err := joblog.ReadLines(strings.NewReader(firstHostLog))
-	if err != nil || bad != 1 || len(got) != 10 {
-		t.Errorf("%d lines, %d bad, %v", len(got), bad, err)
+	got, unreadable, err := joblog.ReadLines(strings.NewReader(firstHostLog))
+	if err != nil || unreadable != 1 || len(got) != 10 {
+		t.Errorf("read %d lines, %d unreadable, error %v; want 10, 1, no error", len(got), unreadable, err)
 	}
 }
