--- a/internal/proc/report/doc.go
+++ b/internal/proc/report/doc.go
@@ -1,2 +1,3 @@
-// Package report draws from hosts' logs where the time of all jobs of a span went.
+// Package report computes from hosts' logs, for all jobs of a time span, in which phases the jobs spent their time and
+// what delayed them.
 package report
--- a/internal/proc/report/phase.go
+++ b/internal/proc/report/phase.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// Phase is what a job's time went to.
+// Phase is what a job's time was spent on. Its value is the name that reports show.
 type Phase string
 
 // The phases of a job, in the order in which they are shown.
 const (
-	PhaseRefused    Phase = "refused" // from its first refusal until it was handed in again and taken
-	PhaseStore      Phase = "store"   // being stored
-	PhaseScheduling Phase = "holder"  // waiting for the holder to place it, though there was a place
-	PhaseUnplaced   Phase = "place"   // waiting for a place
-	PhaseOrder      Phase = "order"   // a start on its way to a worker and back
-	PhaseRun        Phase = "run"     // at work, for as long as was expected
-	PhaseOverrun    Phase = "slow"    // at work for longer than that
-	PhaseRetry      Phase = "again"   // runs that failed or were stopped or lost, until the next began
-	PhaseNoHolder   Phase = "change"  // nobody held
+	PhaseRefused    Phase = "refused" // from the first refusal of its submission until it was submitted again and accepted
+	PhaseStore      Phase = "store"   // the accepted job is being stored
+	PhaseScheduling Phase = "holder"  // waiting for the holder to plan, though a worker had room
+	PhaseUnplaced   Phase = "place"   // unplaced: a task found no worker
+	PhaseOrder      Phase = "order"   // a start order is in flight: sent and not yet answered
+	PhaseRun        Phase = "run"     // running, up to the expected time if that is known
+	PhaseOverrun    Phase = "slow"    // running for longer than the expected time
+	PhaseRetry      Phase = "again"   // runs that failed, were stopped or were lost, until the next run is started
+	PhaseNoHolder   Phase = "change"  // no process was the holder
 )
 
+// phases lists all phases in the order in which they are shown.
 var phases = []Phase{PhaseRefused, PhaseStore, PhaseScheduling, PhaseUnplaced, PhaseOrder, PhaseRun, PhaseOverrun, PhaseRetry, PhaseNoHolder}
 
-// segment is a span of a job's time.
+// segment is an interval that a job spent in one phase.
 type segment struct {
-	phase    Phase
-	from, to time.Time
+	phase    Phase     // phase of the job
+	from, to time.Time // start and end of the interval
 }
 
-// holderGap is a time without a holder.
+// holderGap is an interval without a holder.
 type holderGap struct{ from, to time.Time }
 
-// relabel takes a span out of segments and returns what is left of them, with the part within as PhaseChange.
-func (s holderGap) relabel(all []segment) []segment {
-	var out []segment
+// relabel returns the segments with their parts within the gap attributed to PhaseNoHolder.
+func (g holderGap) relabel(segments []segment) []segment {
+	var relabeled []segment
 	add := func(p Phase, from, to time.Time) {
 		if from.Before(to) {
-			out = append(out, segment{p, from, to})
+			relabeled = append(relabeled, segment{p, from, to})
 		}
 	}
-	for _, g := range all {
-		from, to := latest(g.from, s.from), earliest(g.to, s.to)
+	for _, s := range segments {
+		from, to := latest(s.from, g.from), earliest(s.to, g.to)
 		if !from.Before(to) {
-			add(g.phase, g.from, g.to)
+			add(s.phase, s.from, s.to)
 			continue
 		}
-		add(g.phase, g.from, from)
+		add(s.phase, s.from, from)
 		add(PhaseNoHolder, from, to)
-		add(g.phase, to, g.to)
+		add(s.phase, to, s.to)
 	}
-	return out
+	return relabeled
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -57,6 +59,7 @@
 	return b
 }
 
+// earliest returns the earlier of two times.
 func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/proc/report/report.go
+++ b/internal/proc/report/report.go
@@ -12,63 +12,64 @@
 	"bramleysail.example/bramleysail/internal/proc/joblog"
 )
 
-// ErrNoData says that there is nothing to report on.
-var ErrNoData = errors.New("report: no line about a job")
+// ErrNoData is returned if the logs contain too little about jobs for a report or a plot.
+var ErrNoData = errors.New("report: not enough job data in the logs")
 
-// usefulDeadlineFactor is how many times its aim a job may take for its end to be worth something to its caller.
+// usefulDeadlineFactor times its relative deadline is how long a late job may take and still be useful to its caller.
 const usefulDeadlineFactor = 3
 
-// QueueStats is what became of a queue's jobs.
+// QueueStats is what happened to the jobs of a queue. Each job is counted in one of OnTime to Refused.
 type QueueStats struct {
-	Name         string            `json:"name"`
-	Jobs         int               `json:"jobs"`
-	OnTime       int               `json:"ontime"`
-	LateUseful   int               `json:"late"`    // up to three times the aim
-	LateUseless  int               `json:"toolate"` // later than that
-	Failed       int               `json:"failed"`
-	Cancelled    int               `json:"cancelled"`
-	Unfinished   int               `json:"open"`    // not ended in these logs
-	Refused      int               `json:"refused"` // and never accepted
-	PhaseSeconds map[Phase]float64 `json:"seconds"`
-	DelayCauses  map[Phase]int     `json:"causes"` // of the jobs that weren't on time, by what took most beside the work itself
+	Name         string            `json:"name"`      // queue, "?" for jobs whose queue is not in the logs
+	Jobs         int               `json:"jobs"`      // number of jobs
+	OnTime       int               `json:"ontime"`    // jobs that ended within the relative deadline
+	LateUseful   int               `json:"late"`      // late but useful: within usefulDeadlineFactor times the relative deadline
+	LateUseless  int               `json:"toolate"`   // too late to be useful
+	Failed       int               `json:"failed"`    // jobs that failed
+	Cancelled    int               `json:"cancelled"` // jobs that were cancelled
+	Unfinished   int               `json:"open"`      // not ended in these logs
+	Refused      int               `json:"refused"`   // refused and never accepted in these logs
+	PhaseSeconds map[Phase]float64 `json:"seconds"`   // sum over the jobs of the seconds in each phase
+	DelayCauses  map[Phase]int     `json:"causes"`    // number of jobs not on time, by the phase other than PhaseRun that took longest
 }
 
-// UnplacedCause is why steps found no place for long.
+// UnplacedCause is the number of steps that were unplaced for long because of one cause.
 type UnplacedCause struct {
-	Cause string `json:"cause"` // what held back most of the workers
-	Steps int    `json:"steps"`
+	Cause string `json:"cause"` // log key of the cause that ruled out the most workers, or "unknown"
+	Steps int    `json:"steps"` // number of steps
 }
 
-// TimelineEntry is what all jobs' time went to within a second.
+// TimelineEntry is the time that all jobs together spent in each phase within one second.
 type TimelineEntry struct {
-	Second       int               `json:"at"` // since the span's begin
-	PhaseSeconds map[Phase]float64 `json:"seconds"`
+	Second       int               `json:"at"`      // number of the second, counted from 0 at the start of the span
+	PhaseSeconds map[Phase]float64 `json:"seconds"` // sum over the jobs of the seconds in each phase
 }
 
-// Report is where the time of all jobs of a span went.
+// Report says for all jobs of a time span in which phases they spent their time and what delayed them.
 type Report struct {
-	Start          time.Time       `json:"from"`
-	Length         time.Duration   `json:"length"`
-	Queues         []*QueueStats   `json:"queues"`
-	UnplacedCauses []UnplacedCause `json:"waits"`
-	Refusals       map[string]int  `json:"refusals"` // by reason
-	HolderChanges  int             `json:"changes"`  // of holder
-	Timeline       []TimelineEntry `json:"timeline"`
+	Start          time.Time       `json:"from"`     // start of the span
+	Length         time.Duration   `json:"length"`   // length of the span
+	Queues         []*QueueStats   `json:"queues"`   // by name
+	UnplacedCauses []UnplacedCause `json:"waits"`    // causes of unplaced steps, most frequent first
+	Refusals       map[string]int  `json:"refusals"` // number of refused requests by reason
+	HolderChanges  int             `json:"changes"`  // number of changes of the holder in all of the logs
+	Timeline       []TimelineEntry `json:"timeline"` // second by second from Start
 }
 
-// New returns the report of the jobs that were first seen within a span of logs, counted from the first line; a
-// zero to has it last until the end. ErrNone says that there are none.
+// New builds the report of the jobs that were first seen within a span of the logs. The span lasts from the offset from
+// to the offset to, both counted from the first line; if to is zero, the span lasts until the last line. New returns
+// ErrNoData if no job was first seen within the span.
 func New(lines []joblog.Line, from, to time.Duration) (*Report, error) {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b joblog.Line) int { return a.Time.Compare(b.Time) })
 	if len(lines) == 0 {
 		return nil, ErrNoData
 	}
-	began, end := lines[0].Time, lines[len(lines)-1].Time
+	logStart, end := lines[0].Time, lines[len(lines)-1].Time
 	jobs := collectJobs(lines)
-	r := &Report{Start: began.Add(from), Refusals: map[string]int{}, Queues: []*QueueStats{}, UnplacedCauses: []UnplacedCause{}}
+	r := &Report{Start: logStart.Add(from), Refusals: map[string]int{}, Queues: []*QueueStats{}, UnplacedCauses: []UnplacedCause{}}
 	if to > 0 {
-		end = earliest(end, began.Add(to))
+		end = earliest(end, logStart.Add(to))
 	}
 	r.Length = end.Sub(r.Start)
 	for id, j := range jobs {
@@ -77,7 +78,7 @@
 		}
 	}
 	if len(jobs) == 0 || r.Length < 0 {
-		return nil, errors.Wrapf(ErrNoData, "from %s to %s", from, end.Sub(began))
+		return nil, errors.Wrapf(ErrNoData, "from %s to %s", from, end.Sub(logStart))
 	}
 	gaps := findHolderGaps(lines)
 	r.HolderChanges = len(gaps)
@@ -89,7 +90,7 @@
 	return r, nil
 }
 
-// collectJobs returns the jobs that lines are about, by id.
+// collectJobs returns the jobs that the lines are about, by id.
 func collectJobs(lines []joblog.Line) map[string]*job {
 	jobs := map[string]*job{}
 	for i := range lines {
@@ -105,35 +106,36 @@
 		}
 		j.addLine(l)
 	}
-	// A job of which only questions were asked says nothing of where time went.
+	// A job whose state was merely queried has spent no known time in any phase.
 	maps.DeleteFunc(jobs, func(_ string, j *job) bool {
 		return j.acceptedAt.IsZero() && j.refusedAt.IsZero() && len(j.steps) == 0 && j.endedAt.IsZero()
 	})
 	return jobs
 }
 
-// findHolderGaps returns the times in which nobody held: from a holder's last line of its term until the next
-// one has taken over.
+// findHolderGaps returns the intervals without a holder: from a holder's last line in its term until the next holder
+// has taken over.
 func findHolderGaps(lines []joblog.Line) []holderGap {
 	var gaps []holderGap
-	last := map[string]time.Time{} // by term
+	lastLine := map[string]time.Time{} // time of the holder's last line by term
 	term := ""
 	for i := range lines {
 		l := &lines[i]
 		t := l.Field("term")
 		if l.Msg == "took over" && t != term {
-			if at, ok := last[term]; ok {
+			if at, ok := lastLine[term]; ok {
 				gaps = append(gaps, holderGap{at, l.Time})
 			}
 			term = t
 		}
 		if t != "" && t == term && l.Msg != "no longer the holder" {
-			last[t] = l.Time
+			lastLine[t] = l.Time
 		}
 	}
 	return gaps
 }
 
+// addJob adds the job to its queue's figures and to the timeline.
 func (r *Report) addJob(j *job, gaps []holderGap) {
 	name := cmp.Or(j.queue, "?")
 	i := slices.IndexFunc(r.Queues, func(q *QueueStats) bool { return q.Name == name })
@@ -147,20 +149,21 @@
 	for _, g := range gaps {
 		segments = g.relabel(segments)
 	}
-	spent := map[Phase]float64{}
+	seconds := map[Phase]float64{}
 	for _, s := range segments {
-		spent[s.phase] += s.to.Sub(s.from).Seconds()
+		seconds[s.phase] += s.to.Sub(s.from).Seconds()
 		r.addToTimeline(s)
 	}
-	for p, x := range spent {
-		q.PhaseSeconds[p] += x
+	for p, sec := range seconds {
+		q.PhaseSeconds[p] += sec
 	}
 	if q.countJob(j) {
-		q.DelayCauses[longestDelay(spent)]++
+		q.DelayCauses[longestDelay(seconds)]++
 	}
 }
 
-// countJob counts a job by how it ended and reports whether it ended late.
+// countJob counts a job by how it ended and reports whether its delay has to be explained: it ended late, or it has not
+// ended though it is not long-running.
 func (q *QueueStats) countJob(j *job) bool {
 	took := j.endedAt.Sub(j.firstSeen)
 	switch {
@@ -185,18 +188,19 @@
 	return false
 }
 
-// longestDelay returns the phase that took longestDelay, beside the work itself.
-func longestDelay(spent map[Phase]float64) Phase {
-	best := PhaseRun
+// longestDelay returns the phase other than PhaseRun that took longest, or PhaseRun if no other phase took any time.
+func longestDelay(seconds map[Phase]float64) Phase {
+	longest := PhaseRun
 	for _, p := range phases {
-		if p != PhaseRun && spent[p] > 0 && (best == PhaseRun || spent[p] > spent[best]) {
-			best = p
+		if p != PhaseRun && seconds[p] > 0 && (longest == PhaseRun || seconds[p] > seconds[longest]) {
+			longest = p
 		}
 	}
-	return best
+	return longest
 }
 
-// addToTimeline adds a segment to the seconds in which it lies.
+// addToTimeline adds a segment to the seconds that it overlaps. Time before the start of the span counts in the first
+// second.
 func (r *Report) addToTimeline(s segment) {
 	for at := s.from; at.Before(s.to); {
 		i := int(max(0, at.Sub(r.Start)) / time.Second)
@@ -209,18 +213,19 @@
 	}
 }
 
-// countUnplacedAndRefused counts why steps found no place for long, and why hand-ins were refused.
+// countUnplacedAndRefused counts the steps that were unplaced for long by cause, and the refused requests by reason. A
+// step that was reported several times counts once, with the cause of its first report.
 func (r *Report) countUnplacedAndRefused(lines []joblog.Line, jobs map[string]*job) {
 	causes := map[string]int{}
 	type step struct{ job, step string }
-	told := map[step]bool{}
+	counted := map[step]bool{}
 	for i := range lines {
 		l := &lines[i]
 		switch {
 		case jobs[l.JobID()] == nil:
 		case l.Msg == "waits":
-			if k := (step{l.JobID(), l.Field("step")}); !told[k] {
-				told[k] = true
+			if k := (step{l.JobID(), l.Field("step")}); !counted[k] {
+				counted[k] = true
 				causes[mainUnplacedCause(l)]++
 			}
 		case l.Msg == "answer" && l.Field("result") == "refused":
@@ -233,13 +238,15 @@
 	slices.SortStableFunc(r.UnplacedCauses, func(a, b UnplacedCause) int { return b.Steps - a.Steps })
 }
 
-// mainUnplacedCause returns what held back most of the workers by a line about a step that waits.
+// mainUnplacedCause returns the log key of the cause that ruled out the most workers, from a line about an unplaced step:
+// no resources (full), interference (harm), a latency-critical task over its target (shut), or a worker that accepts no
+// tasks or lacks the label (closed).
 func mainUnplacedCause(l *joblog.Line) string {
-	best, n := "unknown", 0
+	cause, most := "unknown", 0
 	for _, c := range []string{"full", "harm", "shut", "closed"} {
-		if k := l.Int(c); k > n {
-			best, n = c, k
+		if n := l.Int(c); n > most {
+			cause, most = c, n
 		}
 	}
-	return best
+	return cause
 }
--- a/internal/proc/report/report_test.go
+++ b/internal/proc/report/report_test.go
@@ -13,8 +13,8 @@
 	"bramleysail.example/bramleysail/internal/proc/report"
 )
 
-// A print on time; a book that is refused, waits for a place, fails once, and is late by a change of holder; a
-// feed that lasts; a print that is refused for good.
+// dayLog is about four jobs: "print" is on time; "book" is refused, is unplaced for a while, fails once, and is late
+// because the holder changes; "feed" is long-running; "lost" is refused and never accepted.
 const dayLog = `time=2030-01-01T10:00:00.000Z level=INFO msg="took over" host=a term=1 jobs=0 workers=3 took=60ms
 time=2030-01-01T10:00:01.000Z level=INFO msg=answer host=a verb=submit path=/q/book result=refused why="store away" version=1 took=2ms
 time=2030-01-01T10:00:01.000Z level=INFO msg=accepted host=a term=1 job=print queue=prints tasks=1 took=10ms
@@ -75,15 +75,15 @@
 		jobs     int
 		err      error
 	}{
-		{"all", dayLog, 0, 0, 4, nil},
+		{"whole log", dayLog, 0, 0, 4, nil},
 		{"first seconds", dayLog, 0, 5 * time.Second, 2, nil},
 		{"last seconds", dayLog, 6 * time.Second, 0, 2, nil},
 		{"empty span", dayLog, 3 * time.Second, 4 * time.Second, 0, report.ErrNoData},
-		{"begins after the end", dayLog, time.Hour, 0, 0, report.ErrNoData},
-		{"ends before it begins", dayLog, 5 * time.Second, time.Second, 0, report.ErrNoData},
+		{"span begins after the last line", dayLog, time.Hour, 0, 0, report.ErrNoData},
+		{"span ends before it begins", dayLog, 5 * time.Second, time.Second, 0, report.ErrNoData},
 		{"no lines", "", 0, 0, 0, report.ErrNoData},
 		{"no line about a job", "time=2030-01-01T10:00:00.000Z level=INFO msg=start host=a\n", 0, 0, 0, report.ErrNoData},
-		{"a task's name that is none", "time=2030-01-01T10:00:00.000Z msg=end task=a.b run=1\n", 0, 0, 0, report.ErrNoData},
+		{"invalid task id", "time=2030-01-01T10:00:00.000Z msg=end task=a.b run=1\n", 0, 0, 0, report.ErrNoData},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r, err := report.New(readLines(t, tt.log), tt.from, tt.to)
@@ -104,7 +104,7 @@
 	}
 }
 
-// A plot of less than two seconds has no line to draw.
+// A plot of less than two seconds is refused: it has no two points to connect by a line.
 func TestPlotOfOneSecond(t *testing.T) {
 	const short = "time=2030-01-01T10:00:00.500Z msg=accepted host=a term=1 job=print queue=prints tasks=1 took=10ms\n"
 	r, err := report.New(readLines(t, short), 0, 0)
@@ -112,6 +112,6 @@
 		t.Fatal(err)
 	}
 	if err := r.WritePlot(&bytes.Buffer{}); !errors.Is(err, report.ErrNoData) {
-		t.Errorf("error %v, want ErrNone", err)
+		t.Errorf("error %v, want ErrNoData", err)
 	}
 }
--- a/internal/proc/report/write.go
+++ b/internal/proc/report/write.go
@@ -13,14 +13,14 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report as JSON, for programs.
 func (r *Report) WriteJSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return errors.Wrap(e.Encode(r), "report")
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as tables, for people.
 func (r *Report) WriteText(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "from %s, %s, changes of holder: %d\n\n", r.Start.Format(time.RFC3339Nano), r.Length.Round(time.Millisecond), r.HolderChanges)
@@ -41,13 +41,13 @@
 	if len(r.Refusals) > 0 {
 		fmt.Fprintf(w, "\nrefused requests\n")
 	}
-	for _, why := range slices.Sorted(maps.Keys(r.Refusals)) {
-		fmt.Fprintf(w, "%s\t%d\n", why, r.Refusals[why])
+	for _, reason := range slices.Sorted(maps.Keys(r.Refusals)) {
+		fmt.Fprintf(w, "%s\t%d\n", reason, r.Refusals[reason])
 	}
 	return errors.Wrap(w.Flush(), "report")
 }
 
-// writePhaseTable writes a row a queue with a cell a phase.
+// writePhaseTable writes a table with a row for each queue and a column for each phase.
 func (r *Report) writePhaseTable(w io.Writer, cell func(*QueueStats, Phase) string) {
 	fmt.Fprint(w, "queue")
 	for _, p := range phases {
@@ -63,16 +63,17 @@
 	}
 }
 
-// Room around the plot, in pixels; the legend stands above it.
+// Space around the plot, in pixels.
 const (
-	legendHeight = 50
-	margin       = 20
+	legendHeight = 50 // above the plot, for the legend
+	margin       = 20 // on the other sides
 )
 
-// WritePlot draws how many jobs are in each phase over time, as SVG. It needs a span of two seconds or more.
+// WritePlot writes an SVG chart of the number of jobs in each phase over time. It returns ErrNoData if the timeline covers
+// less than two seconds: a line needs two points.
 func (r *Report) WritePlot(out io.Writer) error {
 	if len(r.Timeline) < 2 {
-		return errors.Wrap(ErrNoData, "a plot needs two seconds or more")
+		return errors.Wrap(ErrNoData, "a plot needs a timeline of at least two seconds")
 	}
 	graph := chart.Chart{
 		Background: chart.Style{Padding: chart.Box{Top: legendHeight, Left: margin, Right: margin, Bottom: margin}},
