--- a/internal/route/broker/broker.go
+++ b/internal/route/broker/broker.go
@@ -261,7 +261,7 @@
 		return
 	}
 	sent := time.Now()
-	// An ask whose owner delays the reply counts as answered without a permit, so that
+	// An ask whose reply is delayed counts as answered without a permit, so that
 	// other peers are asked. Permits that the reply grants later are used in addition.
 	pendingTimer := time.AfterFunc(pendingAskTimeout, func() {
 		b.handleEvent(func(now time.Time) []pool.Action { return b.core.HandleGrant(now, a.Peer, a.Slots, nil, 0) })
--- a/internal/route/broker/broker_test.go
+++ b/internal/route/broker/broker_test.go
@@ -12,8 +12,9 @@
 	"bramleysail.example/bramleysail/internal/peer/member"
 )
 
-// A process is paused between the takeover of its first target and the next tick, and resumes when
-// others own the target. It must not lend the target's slots.
+// TestNoLendingWithInvalidOwnership covers a process that is paused between the takeover of its
+// first target and the next tick, and resumes when others own the target. It must not lend the
+// target's slots.
 func TestNoLendingWithInvalidOwnership(t *testing.T) {
 	b := New(Options{
 		Service:        "registro",
--- a/internal/route/broker/claim_test.go
+++ b/internal/route/broker/claim_test.go
@@ -18,9 +18,10 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// singleWatchStore is a store whose watches answer only once.
+// singleWatchStore is a store whose watches report the state at their start and no later change.
 type singleWatchStore struct{ store.Store }
 
+// List implements store.Store.
 func (b singleWatchStore) List(ctx context.Context, prefix string, after uint64, hold time.Duration) (store.Listing, error) {
 	if after > 0 && hold > 0 {
 		<-ctx.Done()
@@ -108,8 +109,9 @@
 	p.wg.Wait()
 }
 
-// A process takes a target over while its view doesn't contain the former owner, which has joined
-// since. If it were considered gone, the former owner would go on sending to the target.
+// TestClaimFromOwnerMissingInView covers a process that takes a target over while its view doesn't
+// contain the former owner, which has joined since. If it were considered gone, the former owner
+// would go on sending to the target.
 func TestClaimFromOwnerMissingInView(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
@@ -126,8 +128,9 @@
 	}
 }
 
-// A target is reassigned twice before the process in between has learned of its assignment. The
-// target can't be taken over from that process: the owner before it still sends to the target.
+// TestClaimSkipsProcessThatNeverOwned covers a target that is reassigned twice before the process
+// in between has learned of its assignment. The target can't be taken over from that process: the
+// owner before it still sends to the target.
 func TestClaimSkipsProcessThatNeverOwned(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
@@ -142,8 +145,9 @@
 	}
 }
 
-// A target is reassigned to another process and back before either has taken it over, so that each
-// claims it from the other. If both waited for the other's claim to end, none would ever own it.
+// TestMutualClaims covers a target that is reassigned to another process and back before either has
+// taken it over, so that each claims it from the other. If both waited for the other's claim to
+// end, none would ever own it.
 func TestMutualClaims(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
@@ -171,8 +175,9 @@
 	}
 }
 
-// The first owner of a target loses its membership and joins again before another process has
-// taken the target over. Its earlier requests may still run there and occupy slots.
+// TestOrphansCountedOnReclaim covers a target's first owner that loses its membership and joins
+// again before another process has taken the target over. Its earlier requests may still run there
+// and occupy slots.
 func TestOrphansCountedOnReclaim(t *testing.T) {
 	srv := httptest.NewServer(new(fakestore.Store).Handler())
 	t.Cleanup(srv.Close)
--- a/internal/route/once/lostmembers_test.go
+++ b/internal/route/once/lostmembers_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestLostMembers guards against records that count as missing for their complete retention time although every process
-// that knew them has returned. When cores are overloaded, all memberships expire at once, and each process returns with
-// its records.
+// TestLostMembers guards against records that count as missing for their complete retention time although every
+// process that knew them has returned. When CPU cores are overloaded, all memberships expire at once, and each process
+// returns with its records.
 func TestLostMembers(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestUnknownLostMembers guards against records that count as complete when only some of the members that know the missing
-// ones have returned. A process that doesn't know all these members reports none, and so does a process that got its report.
+// TestUnknownLostMembers guards against records that count as complete when only some of the members that know the
+// missing ones have returned. A process that doesn't know all these members reports none, and so does a process that
+// got its report.
 func TestUnknownLostMembers(t *testing.T) {
 	var a, b lostMembers
 	a.addReported(nil)
--- a/internal/route/once/registry.go
+++ b/internal/route/once/registry.go
@@ -54,11 +54,11 @@
 
 // Registry is one process's part of the replicated registry of request ids.
 //
-// Each request is recorded by the process that sends it and by the home of its id, the
-// first member in the id's order. If these are the same process, the second member in that
-// order, the backup, has the other copy. So each record survives the loss of one process,
-// and a process that becomes the home of an id pulls the records of the other members
-// before it answers.
+// Each request is recorded by the process that sends it and by the home of its id, which
+// member.View.HomeOf determines. If these are the same process, the backup has the other copy:
+// the member that would be the home if the home were left out. So each record survives the
+// loss of one process, and a process that becomes the home of an id pulls the records of the
+// other members before it answers.
 type Registry struct {
 	table      *Table        // the records known to this process
 	group      *member.Group // the membership, whose view determines homes and backups
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -17,10 +17,11 @@
 	_ = flag.Set("rapid.checks", "30") // each simulates a minute of a busy deployment
 }
 
-// Entry processes die or are suspended for a while, targets change owners under load and some
-// requests hang at their target after their sender has given them up. A target that gets more
-// requests than it has slots refuses or slows down requests; a slot that is never freed is
-// capacity lost for good; a call that ends twice or never is a lost response.
+// TestSlotAccounting simulates faults: entry processes die or are suspended for a while, targets
+// change owners under load and some requests hang at their target after their sender has given them
+// up. A target that gets more requests than it has slots refuses or slows down requests; a slot
+// that is never freed is capacity lost for good; a call that ends twice or never is a lost
+// response.
 func TestSlotAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const cores, targets, slots = 4, 8, 3
@@ -81,8 +82,8 @@
 	}
 }
 
-// Twice as many calls arrive as can be served. Each must be served or refused at once, and as
-// many must be served as at full capacity.
+// TestOverload makes twice as many calls arrive as can be served. Each must be served or refused at
+// once, and as many must be served as at full capacity.
 func TestOverload(t *testing.T) {
 	const cores, targets, slots = 3, 6, 8
 	const span = 20 * time.Second
@@ -107,8 +108,9 @@
 	t.Logf("calls served at 0.98 and 2 times the capacity: %d and %d; refused %d", best, n, w.refusals)
 }
 
-// A team floods the queue and another team's few calls arrive after it. They must be served in
-// turn with the calls of the flood, not behind all of them, and urgent calls first.
+// TestFairShare covers a team that floods the queue, and another team's few calls that arrive after
+// it. They must be served in turn with the calls of the flood, not behind all of them, and urgent
+// calls first.
 func TestFairShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0", MaxWait: time.Second})
@@ -138,9 +140,9 @@
 	}
 }
 
-// A target fails all its requests at once, so it always has free slots and would attract every
-// request. It must be ejected and later tried again with a probe and a single request, and half
-// of the targets must stay in use whatever fails.
+// TestEjection covers a target that fails all its requests at once, so that it always has free
+// slots and would attract every request. It must be ejected and later tried again with a probe and
+// a single request, and half of the targets must stay in use whatever fails.
 func TestEjection(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
@@ -178,8 +180,8 @@
 	}
 }
 
-// The lease of a target's owner has expired, so its ownership is no longer valid. It must neither
-// send to the target nor lend its slots.
+// TestOwnershipInvalid covers a target's owner whose lease has expired, so that its ownership is no
+// longer valid. It must neither send to the target nor lend its slots.
 func TestOwnershipInvalid(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
@@ -195,10 +197,10 @@
 	}
 }
 
-// A process is suspended, as it can't tell whether the store is unreachable or the process
-// itself is isolated, while its peers go on. It must neither use nor borrow slots of theirs: each
-// would cost a connection and a slot, and its calls would be sent again and again. The calls are
-// sent when the suspension ends.
+// TestSuspended covers a process that is suspended, as it can't tell whether the store is
+// unreachable or the process itself is isolated, while its peers go on. It must neither use nor
+// borrow slots of theirs: each would cost a connection and a slot, and its calls would be sent
+// again and again. The calls are sent when the suspension ends.
 func TestSuspended(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New(Options{Self: "e0"})
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -88,7 +88,7 @@
 	transports map[transportKey]*http.Transport
 }
 
-// transportKey identifies a transport, which is the connections to one target.
+// transportKey identifies a transport, which holds the connections to one target.
 type transportKey struct {
 	addr  string
 	role  Role
--- a/internal/route/relay/relay_test.go
+++ b/internal/route/relay/relay_test.go
@@ -128,6 +128,7 @@
 	closed *atomic.Bool
 }
 
+// Write implements net.Conn.
 func (c resetConn) Write(p []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, syscall.ECONNRESET
