--- a/internal/batch/hold/bucket.go
+++ b/internal/batch/hold/bucket.go
@@ -64,7 +64,7 @@
 		changed: make(chan struct{}), cancel: cancel}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if own, ok := h.opts.Keeper.OwnAssignments(BucketTable)[name]; !ok || own.Epoch != assignment.Epoch || h.buckets[name] != nil {
+	if own, ok := h.opts.Assigner.OwnAssignments(BucketTable)[name]; !ok || own.Epoch != assignment.Epoch || h.buckets[name] != nil {
 		cancel()
 		return
 	}
@@ -250,7 +250,7 @@
 	defer b.mu.Unlock()
 	// Authorized is called last and with the lock held: the reply of a holding that has
 	// expired would contain placements that another holder may have changed since.
-	if b.closed || !b.holder.opts.Keeper.Authorized() {
+	if b.closed || !b.holder.opts.Assigner.Authorized() {
 		return jobs.RackReply{}
 	}
 	return b.core.HandleReport(time.Now(), report, func(kind string) bool {
--- a/internal/batch/hold/holder.go
+++ b/internal/batch/hold/holder.go
@@ -39,15 +39,15 @@
 type Options struct {
 	Store        store.Store
 	Group        *member.Group        // this process and its peers
-	Keeper       *shard.Assigner      // which buckets and racks each process holds
+	Assigner     *shard.Assigner      // reads and plans the tables that assign buckets and racks
 	Links        *link.Set            // connections to peers
 	Config       func() sheet.Config  // the configuration in force
 	ConfigAge    func() time.Duration // time since the configuration was last confirmed
 	Hosts        func() []hosts.Host  // the host list
 	BucketCount  int                  // number of buckets
 	LeaseTTL     time.Duration        // lease of a worker; its tasks stop when it expires
-	PollInterval time.Duration        // between two rounds of Run
-	MaxConfigAge time.Duration        // oldest confirmation of the configuration with which a task may start
+	PollInterval time.Duration        // between two polls of the workers; Run does all its work at this interval
+	MaxConfigAge time.Duration        // greatest age of the configuration's last confirmation when a task starts
 	CallTimeout  time.Duration        // of one call to a peer or a worker
 	Log          logr.Logger
 	Scope        tally.Scope
@@ -105,7 +105,7 @@
 	return zones
 }
 
-// Run runs what this process holds, in rounds of PollInterval, until ctx ends.
+// Run claims and runs the buckets and racks that are assigned to this process, every PollInterval until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
 	t := time.NewTicker(h.opts.PollInterval)
 	defer t.Stop()
@@ -126,8 +126,8 @@
 // reconcile drops the buckets and racks that are no longer assigned to this process, and claims
 // those that are newly assigned.
 func (h *Holder) reconcile(ctx context.Context) {
-	buckets, racks := h.opts.Keeper.OwnAssignments(BucketTable), h.opts.Keeper.OwnAssignments(RackTable)
-	if !h.opts.Keeper.Authorized() {
+	buckets, racks := h.opts.Assigner.OwnAssignments(BucketTable), h.opts.Assigner.OwnAssignments(RackTable)
+	if !h.opts.Assigner.Authorized() {
 		return // the assignments may be out of date, so nothing is started or stopped
 	}
 	h.mu.Lock()
@@ -211,9 +211,9 @@
 	return true
 }
 
-// HandleYield stops acting on an item that another process claims with a newer epoch.
+// HandleYield handles the RPC Peer.Yield: it stops acting on an item that another process claims with a newer epoch.
 func (h *Holder) HandleYield(in YieldArgs) bool {
-	h.opts.Keeper.YieldItem(in.Table, in.Item, in.Ep)
+	h.opts.Assigner.YieldItem(in.Table, in.Item, in.Ep)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch in.Table {
@@ -259,7 +259,7 @@
 
 // bucketHolder returns the member that a bucket is assigned to.
 func (h *Holder) bucketHolder(bucket string) (member.Member, bool) {
-	return h.opts.Group.View().Get(h.opts.Keeper.HolderOf(BucketTable, bucket))
+	return h.opts.Group.View().Get(h.opts.Assigner.HolderOf(BucketTable, bucket))
 }
 
 // SubmitArgs is a submission or a cancellation that is sent to the holder of a job's bucket.
--- a/internal/batch/hold/holder_test.go
+++ b/internal/batch/hold/holder_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	return New(Options{
-		Store: s, Group: group, Keeper: assigner, Links: links,
+		Store: s, Group: group, Assigner: assigner, Links: links,
 		Config:      func() sheet.Config { return sheet.Config{} },
 		ConfigAge:   func() time.Duration { return 0 },
 		Hosts:       func() []hosts.Host { return *hostList },
--- a/internal/batch/hold/rack.go
+++ b/internal/batch/hold/rack.go
@@ -34,7 +34,7 @@
 		core: rack.New(time.Now(), rack.Options{Rack: name, Zone: zone, Epoch: assignment.Epoch, LeaseTTL: h.opts.LeaseTTL, MaxConfigAge: h.opts.MaxConfigAge, BucketOf: h.BucketOf})}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if own, ok := h.opts.Keeper.OwnAssignments(RackTable)[name]; ok && own.Epoch == assignment.Epoch && h.racks[name] == nil {
+	if own, ok := h.opts.Assigner.OwnAssignments(RackTable)[name]; ok && own.Epoch == assignment.Epoch && h.racks[name] == nil {
 		h.racks[name] = r
 		h.opts.Log.Info("rack held", "rack", name, "zone", zone, "ep", assignment.Epoch)
 	}
@@ -59,7 +59,7 @@
 
 // tickRacks sends the commands that are due on each rack, and polls the workers.
 func (h *Holder) tickRacks(ctx context.Context) {
-	if !h.opts.Keeper.Authorized() {
+	if !h.opts.Assigner.Authorized() {
 		return
 	}
 	now := time.Now()
@@ -162,13 +162,13 @@
 // syncRacks sends the reports of the held racks to the holders of all buckets, one call to
 // each process that has none under way.
 func (h *Holder) syncRacks(ctx context.Context) {
-	if !h.opts.Keeper.Authorized() {
+	if !h.opts.Assigner.Authorized() {
 		return
 	}
 	byHolder := map[string][]string{}
 	for i := range h.opts.BucketCount {
 		name := BucketName(i)
-		if id := h.opts.Keeper.HolderOf(BucketTable, name); id != "" {
+		if id := h.opts.Assigner.HolderOf(BucketTable, name); id != "" {
 			byHolder[id] = append(byHolder[id], name)
 		}
 	}
@@ -206,7 +206,7 @@
 	delete(h.syncing, id)
 }
 
-// nextBucket returns the bucket that the rack's free resources are offered to in this round,
+// nextBucket returns the bucket that the rack's free resources are offered to with the next reports,
 // or "" when no task waits. Buckets with urgent or long-running tasks take turns; without
 // any, those with waiting tasks do. If all were offered the same resources at once, each
 // would use them.
@@ -268,7 +268,8 @@
 	return reply, err == nil
 }
 
-// HandleReports returns the replies to racks' reports for the buckets that this process holds.
+// HandleReports handles the RPC Peer.Sync: it returns the replies to racks' reports for the buckets that this process
+// holds.
 func (h *Holder) HandleReports(in SyncArgs) SyncReply {
 	reply := SyncReply{map[string][]jobs.RackReply{}}
 	for name, reports := range in.Reports {
--- a/internal/batch/jobs/bench_test.go
+++ b/internal/batch/jobs/bench_test.go
@@ -8,8 +8,8 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// newBenchBucket returns a Core with n jobs of 10 tasks, half of them placed.
-func newBenchBucket(b *testing.B, n int) *Core {
+// newBenchCore returns the Core of a bucket with n jobs of 10 tasks, half of them placed.
+func newBenchCore(b *testing.B, n int) *Core {
 	now := time.Unix(1000, 0)
 	c := New(Bucket{}, 1)
 	for i := range n {
@@ -43,7 +43,7 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newBenchBucket(b, n)
+			c := newBenchCore(b, n)
 			size := 0
 			for b.Loop() {
 				size = commitBench(b, c)
@@ -57,7 +57,7 @@
 func BenchmarkHear(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newBenchBucket(b, n)
+			c := newBenchCore(b, n)
 			now := time.Unix(1000, 0)
 			for b.Loop() {
 				c.HandleReport(now, RackReport{Rack: "rack-2", Ep: 1, Usable: true}, func(string) bool { return true })
--- a/internal/batch/jobs/jobs_test.go
+++ b/internal/batch/jobs/jobs_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// The last task of a job finishes while the job is being cancelled. What is handled first
-// decides the final state of the job.
+// TestCancelRacesFinish covers a job whose last task finishes while the job is being cancelled.
+// What is handled first decides the final state of the job.
 func TestCancelRacesFinish(t *testing.T) {
 	for _, cancelFirst := range []bool{true, false} {
 		c, run := newPlacedJob(t, 1)
@@ -126,8 +126,8 @@
 	}
 }
 
-// A job is too large for every worker that it may use. It must be parked with the reason,
-// but only after every rack has reported, and must not delay other jobs.
+// TestInfeasibleJobParked covers a job that is too large for every worker that it may use. It must
+// be parked with the reason, but only after every rack has reported, and must not delay other jobs.
 func TestInfeasibleJobParked(t *testing.T) {
 	c := New(Bucket{}, 1)
 	commitRecord(t, c)
@@ -156,8 +156,8 @@
 	}
 }
 
-// A submission may be repeated, as after a lost answer. A different job with the same id, or
-// an invalid one, is refused.
+// TestSubmit checks that a submission may be repeated, as after a lost answer, and that a different
+// job with the same id, or an invalid one, is refused.
 func TestSubmit(t *testing.T) {
 	c := New(Bucket{}, 1)
 	s := Spec{ID: "job", Kind: "audit", N: 1, Size: unit, Run: time.Second}
@@ -190,8 +190,8 @@
 	})
 }
 
-// More tasks wait than fit. The long-running job (a condition watch) must be placed first, then
-// the urgent one, whatever the order of submission.
+// TestPlacementPrecedence covers more waiting tasks than fit. The long-running job (a condition
+// watch) must be placed first, then the urgent one, whatever the order of submission.
 func TestPlacementPrecedence(t *testing.T) {
 	c := New(Bucket{}, 1)
 	commitRecord(t, c)
--- a/internal/batch/rack/commands.go
+++ b/internal/batch/rack/commands.go
@@ -258,9 +258,9 @@
 			rep.Failed = append(rep.Failed, r.placement)
 		}
 	}
-	for p, kept := range c.returned {
+	for p, savedWork := range c.returned {
 		if c.bucketOf(p) == bucket {
-			rep.Back[p] = kept
+			rep.Back[p] = savedWork
 		}
 	}
 	for p := range c.released {
--- a/internal/batch/rack/core.go
+++ b/internal/batch/rack/core.go
@@ -35,7 +35,7 @@
 	stateStopping runState = "stopping" // a stop or checkpoint was decided
 	stateFinished runState = "finished" // the worker keeps the result until the bucket has recorded the end
 	stateFailed   runState = "failed"   // the worker keeps the task until the bucket has recorded the end
-	stateStopped  runState = "stopped"  // the worker has stopped the task; its progress is the work that is kept
+	stateStopped  runState = "stopped"  // the worker has stopped the task; its progress is the work saved by checkpoints
 )
 
 // run is a placement that was started on a worker of the rack, by this holder or a former one.
@@ -45,7 +45,7 @@
 	size            wire.Size     // resources that it occupies while it may run
 	task            wire.Task     // as sent with a start; only ID and size are known if a former holder started it
 	state           runState      // as last reported by the worker or decided here
-	progress        time.Duration // work done; in stateStopped the work that is kept
+	progress        time.Duration // work done; in stateStopped the work saved by checkpoints
 	commandInFlight bool          // a start or task command has no answer yet
 	startUnknown    bool          // no answer came to a start: the worker may have executed it, or it may still arrive
 	startDeadline   time.Time     // the worker refuses a start that arrives later
@@ -77,14 +77,13 @@
 	// possiblyStarted holds wanted placements that a former holder may have started and no worker has reported.
 	possiblyStarted map[jobs.Placement]bool
 	runs            map[jobs.Placement]*run
-	// returned holds the placements that go back to their bucket, with the work kept, until the bucket has
-	// recorded the return.
+	// returned holds the placements that go back to their bucket, with the work saved by checkpoints, until the bucket
+	// has recorded the return.
 	returned map[jobs.Placement]time.Duration
-	// released holds the placements whose worker has acknowledged that the result counts, until the bucket has
-	// recorded that.
+	// released holds the finished placements whose worker has accepted the result, until the bucket has recorded that.
 	released   map[jobs.Placement]bool
 	zoneStatus ZoneStatus // as of the last Tick
-	actions    []Action   // emitted since the last Tick
+	actions    []Action   // emitted by the Tick that is under way
 }
 
 // expiryMargin is how long after the end of a lease or a start deadline it counts as passed.
@@ -191,7 +190,7 @@
 }
 
 // expireLease handles a worker whose lease could not be renewed: its tasks have stopped, and their placements
-// are returned with the work that their checkpoints keep. Finished runs stay, as the worker holds their results.
+// are returned with the work saved by checkpoints. Finished runs stay, as the worker holds their results.
 // So does a start whose deadline has not passed: the worker would execute it once it is fenced and renewed again.
 func (c *Core) expireLease(now time.Time, w *worker) {
 	w.fenced = false
@@ -212,9 +211,9 @@
 
 func (c *Core) bucketOf(p jobs.Placement) string { return c.opts.BucketOf(p.Job) }
 
-// returnPlacement returns a placement to its bucket, with the work kept by checkpoints.
-func (c *Core) returnPlacement(p jobs.Placement, kept time.Duration) {
-	c.returned[p] = max(kept, c.returned[p])
+// returnPlacement returns a placement to its bucket, with the work saved by checkpoints.
+func (c *Core) returnPlacement(p jobs.Placement, savedWork time.Duration) {
+	c.returned[p] = max(savedWork, c.returned[p])
 	delete(c.wanted[c.bucketOf(p)], p)
 }
 
--- a/internal/batch/rack/core_test.go
+++ b/internal/batch/rack/core_test.go
@@ -10,7 +10,7 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// harness is one fake worker and a clock, for tests that deliver each message themselves.
+// harness holds a stand-in for a worker, and a clock, for tests that deliver each message themselves.
 type harness struct {
 	now       time.Time
 	startTime time.Time // when the worker's own clock was 0
@@ -71,9 +71,9 @@
 	return p
 }
 
-// A holder is paused between emitting a start and sending it, loses the rack, and resumes before the start's
-// deadline. The task would run twice: on this worker, and where it was placed after the new holder took over. The
-// worker must refuse the older epoch.
+// TestFormerHolderStartRefused covers a holder that is paused between emitting a start and sending it, loses the
+// rack, and resumes before the start's deadline. The task would run twice: on this worker, and where it was placed
+// after the new holder took over. The worker must refuse the older epoch.
 func TestFormerHolderStartRefused(t *testing.T) {
 	h := newHarness()
 	old := h.newHolder(1)
@@ -85,8 +85,8 @@
 	}
 }
 
-// A renewal is delayed for longer than the lease. By then the holder has treated the lease as expired, and the task
-// runs elsewhere; the renewal must not make it run on this worker again.
+// TestLateRenewal covers a renewal that is delayed for longer than the lease. By then the holder has treated the
+// lease as expired, and the task runs elsewhere; the renewal must not make it run on this worker again.
 func TestLateRenewal(t *testing.T) {
 	h := newHarness()
 	c := h.newHolder(1)
@@ -119,9 +119,9 @@
 	}
 }
 
-// A worker stops answering while it runs a task: it is dead, or commands reach it and only the answers are lost.
-// The placement must be returned to its bucket, or the task would never be finished, but not before the worker has
-// certainly stopped the task.
+// TestSilentWorker covers a worker that stops answering while it runs a task: it is dead, or commands reach it and
+// only the answers are lost. The placement must be returned to its bucket, or the task would never be finished, but
+// not before the worker has certainly stopped the task.
 func TestSilentWorker(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		h := newHarness()
@@ -155,8 +155,9 @@
 	}
 }
 
-// The store has not answered for some time, so operators may have evacuated the failure domain without this
-// process knowing. No task may start, and a start that was emitted in time but arrives late must be refused.
+// TestStaleConfiguration covers a store that has not answered for some time, so that operators may have evacuated the
+// failure domain without this process knowing. No task may start, and a start that was emitted in time but arrives
+// late must be refused.
 func TestStaleConfiguration(t *testing.T) {
 	h := newHarness()
 	c := h.newHolder(1)
@@ -177,8 +178,8 @@
 	}
 }
 
-// A rack offers its free resources again before it has been told what the previous offer was used for. If they
-// were used twice, tasks would wait on this rack that other racks could start at once.
+// TestOfferUsedOnce covers a rack that offers its free resources again before it has been told what the previous
+// offer was used for. If they were used twice, tasks would wait on this rack that other racks could start at once.
 func TestOfferUsedOnce(t *testing.T) {
 	h := newHarness()
 	c := h.newHolder(1)
--- a/internal/batch/rack/faults_test.go
+++ b/internal/batch/rack/faults_test.go
@@ -19,9 +19,10 @@
 	_ = flag.Set("rapid.shrinktime", "5s")
 }
 
-// Holders of racks and of the bucket die, messages are lost or delayed, workers are unreachable for longer than
-// their lease, failure domains are evacuated and brought back, and jobs are cancelled. No result may be published
-// twice, no task may run on two workers or be lost, and none may start in an evacuated failure domain.
+// TestExactlyOnce simulates faults: holders of racks and of the bucket die, messages are lost or delayed, workers are
+// unreachable for longer than their lease, failure domains are evacuated and brought back, and jobs are cancelled. No
+// result may be published twice, no task may run on two workers or be lost, and none may start in an evacuated
+// failure domain.
 func TestExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"))
@@ -155,8 +156,8 @@
 	}
 }
 
-// A task is evicted because its failure domain is evacuated. It must resume elsewhere from its checkpoint, not from
-// the beginning.
+// TestEvictionResumesFromCheckpoint covers a task that is evicted because its failure domain is evacuated. It must
+// resume elsewhere from its checkpoint, not from the beginning.
 func TestEvictionResumesFromCheckpoint(t *testing.T) {
 	sim := newSimulation(1)
 	sim.submitUntilStored(jobs.Spec{ID: "audit", Kind: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: 20 * time.Second})
@@ -178,8 +179,8 @@
 	}
 }
 
-// A worker fails every task at once, so it always has free resources. It must get a cooldown after a few failures,
-// and no job may be parked because of it.
+// TestFailingWorkerCooldown covers a worker that fails every task at once, so that it always has free resources. It
+// must get a cooldown after a few failures, and no job may be parked because of it.
 func TestFailingWorkerCooldown(t *testing.T) {
 	sim := newSimulation(1)
 	sim.workers["r0/w0"].SetFailing(true)
--- a/internal/proc/node/node.go
+++ b/internal/proc/node/node.go
@@ -39,13 +39,13 @@
 	membership     *member.Group        // membership of this process among the entry processes
 	assigner       *shard.Assigner      // reads and plans the tables that assign targets, racks and buckets
 	configWatcher  *sheet.ConfigWatcher // follows the operators' configuration
-	hosts          hostList
-	registry       *once.Registry // records of non-idempotent requests
-	relay          *relay.Relay   // sends requests to targets
-	services       serviceSet
-	entry          *entry.Entry  // answers callers' requests
-	batchHolder    *hold.Holder  // runs the racks and buckets that this process holds
-	listenerFailed chan struct{} // closed when an HTTP listener fails
+	hosts          hostList             // targets and workers, as the platform lists them
+	registry       *once.Registry       // records of non-idempotent requests
+	relay          *relay.Relay         // sends requests to targets
+	services       serviceSet           // services to which requests are routed
+	entry          *entry.Entry         // answers callers' requests
+	batchHolder    *hold.Holder         // runs the racks and buckets that this process holds
+	listenerFailed chan struct{}        // closed when an HTTP listener fails
 
 	scope           tally.Scope
 	metricsHandler  http.Handler
@@ -143,7 +143,7 @@
 	n.configWatcher = sheet.NewConfigWatcher(n.store, n.settings.Store.WatchTimeout, n.onConfigChange, n.log)
 	n.registry = once.NewRegistry(once.NewTable(n.settings.Limit.RequestIDRetention), n.membership, n.links, n.settings.Peer.Timeout, n.log)
 	n.batchHolder = hold.New(hold.Options{
-		Store: n.store, Group: n.membership, Keeper: n.assigner, Links: n.links,
+		Store: n.store, Group: n.membership, Assigner: n.assigner, Links: n.links,
 		Config: n.configWatcher.Current, ConfigAge: n.configWatcher.ConfirmationAge, Hosts: n.hosts.current,
 		BucketCount: n.settings.Worker.Buckets, LeaseTTL: n.settings.Worker.LeaseTTL, PollInterval: n.settings.Worker.PollInterval, MaxConfigAge: n.settings.Worker.MaxConfigAge,
 		CallTimeout: n.settings.Peer.Timeout, Log: n.log, Scope: n.scope,
