--- a/internal/ctrl/shard/plan_test.go
+++ b/internal/ctrl/shard/plan_test.go
@@ -35,8 +35,9 @@
 	return list
 }
 
-// Members join and leave in any order. With a wrong plan, targets without a holder would get no requests, uneven
-// shares would make one process slow, and an epoch used twice would let a former holder's commands pass the fence.
+// TestPlanTable checks the plans while members join and leave in any order. With a wrong plan, targets without a
+// holder would get no requests, uneven shares would make one process slow, and an epoch used twice would let a former
+// holder's commands pass the fence.
 func TestPlanTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
@@ -78,7 +79,8 @@
 	}
 }
 
-// One member of nine dies. Only its items may move; otherwise its death would disturb the requests at all targets.
+// TestPlanTableMovesFewItems covers the death of one member of nine. Only its items may move; otherwise its death
+// would disturb the requests at all targets.
 func TestPlanTableMovesFewItems(t *testing.T) {
 	all := member.NewView(1, members(0, 1, 2, 3, 4, 5, 6, 7, 8)...)
 	table, _ := PlanTable(Table{}, items(50), all)
--- a/internal/ctrl/sheet/sheet.go
+++ b/internal/ctrl/sheet/sheet.go
@@ -29,7 +29,7 @@
 	Zones   []string      `toml:"zones"`   // failure domains that it may use
 	Slots   int           `toml:"slots"`   // number of requests that each target processes at a time
 	Conns   int           `toml:"conns"`   // number of connections that each target accepts from all entry processes together
-	Timeout time.Duration `toml:"timeout"` // longest time that a request runs at a target
+	Timeout time.Duration `toml:"timeout"` // longest time from a request's arrival to its answer, and so also that it runs at a target
 	Wait    time.Duration `toml:"wait"`    // longest time that a request waits in the queue
 	Leaving []string      `toml:"leaving"` // addresses of targets that are to get no new requests
 }
@@ -179,8 +179,8 @@
 }
 
 // FindJobKind returns the declaration of a kind of job, and whether there is one.
-func (s Sheet) FindJobKind(job string) (JobKind, bool) {
-	i := slices.IndexFunc(s.Job, func(j JobKind) bool { return j.Name == job })
+func (s Sheet) FindJobKind(kind string) (JobKind, bool) {
+	i := slices.IndexFunc(s.Job, func(j JobKind) bool { return j.Name == kind })
 	if i < 0 {
 		return JobKind{}, false
 	}
--- a/internal/ctrl/sheet/sheet_test.go
+++ b/internal/ctrl/sheet/sheet_test.go
@@ -26,7 +26,8 @@
 	return string(data)
 }
 
-// A sheet has several errors. All of them must be reported, each with its line.
+// TestParseErrors covers a sheet with several errors. All of them must be reported, each with its
+// line.
 func TestParseErrors(t *testing.T) {
 	_, err := Parse(`base = 0
 colour = "red"
@@ -58,8 +59,9 @@
 	return store.NewHTTP(srv.URL, time.Second)
 }
 
-// A sheet was written before an operator evacuated a failure domain. It must not bring the domain back. A sheet that is
-// empty, or that removes half of the declarations without confirmation, must change nothing either.
+// TestPutSheet covers a sheet that was written before an operator evacuated a failure domain. It must not bring the
+// domain back. A sheet that is empty, or that removes half of the declarations without confirmation, must change
+// nothing either.
 func TestPutSheet(t *testing.T) {
 	ctx := context.Background()
 	s := newTestStore(t)
@@ -93,7 +95,8 @@
 	}
 }
 
-// The answer to an older read arrives after a newer version was seen. It must not replace that.
+// TestOlderConfigIgnored covers the answer to an older read that arrives after a newer version was
+// seen. It must not replace that version.
 func TestOlderConfigIgnored(t *testing.T) {
 	w := NewConfigWatcher(nil, 0, func(Config) {}, discardLog())
 	listing := func(version string) store.Listing {
@@ -118,8 +121,8 @@
 	})
 }
 
-// A second version is read while onChange is still being called with the first one. If the calls were made in the
-// wrong order, the older version would stay in force.
+// TestChangeOrder covers a second version that is read while onChange is still being called with the first one. If
+// the calls were made in the wrong order, the older version would stay in force.
 func TestChangeOrder(t *testing.T) {
 	ctx := context.Background()
 	s := newTestStore(t)
--- a/internal/fake/target/target.go
+++ b/internal/fake/target/target.go
@@ -31,7 +31,7 @@
 // oversizedLen is the length of an oversized answer, in bytes.
 const oversizedLen = 32 << 20
 
-// Target is a target. The zero value has no slots and refuses all requests.
+// Target is the stand-in. The zero value has no slots and refuses all requests.
 type Target struct {
 	mu            sync.Mutex    // guards the fields below
 	slots         int           // most requests at a time
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -22,7 +22,8 @@
 	leaseUntil wire.WorkerTime        // lease expiry
 	tasks      map[string]*task       // by ID, ended ones too until they are forgotten
 	starts     map[string]int         // number of starts by task ID
-	// acceptedResults is the number of released results by task ID. A task has no other effect outside the worker.
+	// acceptedResults is how often the result of each task was accepted, by task ID. A task has no other effect
+	// outside the worker.
 	acceptedResults map[string]int
 	reportLag       time.Duration   // greatest age of lastReport
 	lastReport      wire.Report     // what Report returns until it is too old
@@ -33,7 +34,7 @@
 // task is a task that was started here and has not been forgotten.
 type task struct {
 	spec      wire.Task
-	updatedAt wire.WorkerTime // until when the progress is counted
+	updatedAt wire.WorkerTime // time up to which the progress is counted
 	progress  time.Duration   // work done, at full speed
 	state     wire.TaskState
 	speed     float64 // share of full speed, 0 to 1
@@ -57,7 +58,7 @@
 	return w.starts[id]
 }
 
-// AcceptedResults returns the number of released results by task ID.
+// AcceptedResults returns how often the result of each task was accepted, by task ID.
 func (w *Worker) AcceptedResults() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/peer/member/group.go
+++ b/internal/peer/member/group.go
@@ -15,7 +15,7 @@
 	"bramleysail.example/bramleysail/internal/plat/store"
 )
 
-// Options configures a Group. Self, Store and Links are required.
+// Options configures a Group. The functions may be nil; Run needs all other fields.
 type Options struct {
 	Self              Member // this process
 	Store             store.Store
@@ -50,7 +50,7 @@
 type Group struct {
 	opts Options
 
-	mu                sync.Mutex
+	mu                sync.Mutex // guards the fields below
 	view              View
 	leaseID           string               // lease in the store; empty: none is open
 	keyHeld           bool                 // this process's key is bound to the lease
--- a/internal/peer/member/group_test.go
+++ b/internal/peer/member/group_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// A process is paused for longer than its lease and joins again while its view still
-// shows its old key. If it then acted without writing its key, the other processes would not see
-// it as a member, and what they have taken over would have two owners.
+// TestRejoinWithStaleView covers a process that is paused for longer than its lease and joins again
+// while its view still shows its old key. If it then acted without writing its key, the other
+// processes would not see it as a member, and what they have taken over would have two owners.
 func TestRejoinWithStaleView(t *testing.T) {
 	ctx := context.Background()
 	g, s := newGroup(t)
@@ -84,8 +84,9 @@
 	checkKeyHeld(t, g)
 }
 
-// The answer to the write of a process's key is lost. The process must not continue under another
-// lease than the one its key is bound to: the key would expire while the process still acts.
+// TestAcquireAnswerLost covers a write of a process's key whose answer is lost. The process must
+// not continue under another lease than the one its key is bound to: the key would expire while the
+// process still acts.
 func TestAcquireAnswerLost(t *testing.T) {
 	ctx := context.Background()
 	g, s := newGroup(t)
--- a/internal/peer/member/view.go
+++ b/internal/peer/member/view.go
@@ -27,9 +27,9 @@
 	State State  `json:"state"`
 }
 
-// View is the membership at one revision of the store.
+// View is the membership as one read of the store returned it.
 type View struct {
-	epoch    uint64            // revision of the store
+	epoch    uint64            // revision of the last change of the members' keys
 	members  []Member          // in order of id
 	leaseIDs map[string]string // lease to which each member's key is bound, by member id
 }
@@ -52,14 +52,15 @@
 	return v
 }
 
-// NewView returns a view with the given members. It is meant for tests and for adapters without a store.
+// NewView returns a view with the given members. It is meant for tests.
 func NewView(epoch uint64, members ...Member) View {
 	v := View{epoch: epoch, members: slices.Clone(members)}
 	slices.SortFunc(v.members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	return v
 }
 
-// Epoch returns the store's revision at which the view was read. It increases from view to view.
+// Epoch returns the store's revision of the last change of the membership. It increases from view to view, and views with
+// the same epoch are equal.
 func (v View) Epoch() uint64 { return v.epoch }
 
 // Members returns all members in order of id.
--- a/internal/plat/store/http.go
+++ b/internal/plat/store/http.go
@@ -33,7 +33,7 @@
 
 const (
 	maxIdleConns    = 8                // idle connections kept to the service
-	indexHeader     = "X-Consul-Index" // response header with the service's revision
+	indexHeader     = "X-Consul-Index" // response header with the revision of the last change of what was read
 	maxResponseSize = 64 << 20         // largest response body in bytes that is read
 )
 
@@ -94,7 +94,7 @@
 	return h.getEntries(ctx, prefix, q)
 }
 
-// getEntries reads a key, or every key below it if q says so. Absent keys give an empty listing.
+// getEntries reads a key, or every key that begins with it if q has recurse. Absent keys give an empty listing.
 func (h *HTTP) getEntries(ctx context.Context, key string, q url.Values) (Listing, error) {
 	resp, body, err := h.call(ctx, http.MethodGet, "/v1/kv/"+key, q, nil)
 	if err != nil {
--- a/internal/plat/store/store.go
+++ b/internal/plat/store/store.go
@@ -35,7 +35,7 @@
 // Listing is the result of List and Range.
 type Listing struct {
 	Entries []Entry
-	Rev     uint64 // revision of the service at the time of the read
+	Rev     uint64 // of List: revision of the last change among the keys read; of Range: of the service at the read
 }
 
 // Store is a client of the key-value service with single-key operations. Each method makes one
@@ -43,7 +43,7 @@
 type Store interface {
 	// Get reads one key. It returns ErrNotFound if the key is absent.
 	Get(ctx context.Context, key string) (Entry, error)
-	// List reads every key below prefix. If after and wait are above 0, it first waits up to wait
+	// List reads every key that begins with prefix. If after and wait are above 0, it first waits up to wait
 	// for a revision above after.
 	List(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error)
 	// Swap writes value if the key's revision is still rev; 0 means that the key is absent. It
--- a/internal/plat/store/store_test.go
+++ b/internal/plat/store/store_test.go
@@ -41,10 +41,10 @@
 	},
 }
 
-// Several writers race on one key while answers are lost after the write took effect. The
-// test guards against lost answers that are resolved wrongly: two operators are both told
-// that their change succeeded, or one is told that its change failed while it is in force.
-// The history of all operations must be linearizable as that of one register.
+// TestSwapWithRetry lets several writers race on one key while answers are lost after the write
+// took effect. It guards against lost answers that are resolved wrongly: two operators are both
+// told that their change succeeded, or one is told that its change failed while it is in force. The
+// history of all operations must be linearizable as that of one register.
 func TestSwapWithRetry(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	fake := &fakestore.Store{}
@@ -89,8 +89,8 @@
 	}
 }
 
-// The service is unreachable for a while. Calls in that time must return an unknown outcome, and
-// a lease that couldn't be renewed meanwhile must not be lost for that reason alone.
+// TestOutage makes the service unreachable for a while. Calls in that time must return an unknown
+// outcome, and a lease that couldn't be renewed meanwhile must not be lost for that reason alone.
 func TestOutage(t *testing.T) {
 	fake := &fakestore.Store{}
 	srv := httptest.NewServer(fake.Handler())
--- a/internal/proc/node/node_test.go
+++ b/internal/proc/node/node_test.go
@@ -49,8 +49,9 @@
 	return resp.StatusCode, string(text)
 }
 
-// An operator puts a sheet through a process and submits a job of a kind that it declares through the
-// same process, before the store's watch reports the sheet. The process must accept the job kind.
+// TestSubmitJobAfterPutSheet covers an operator who puts a sheet through a process and submits a
+// job of a kind that it declares through the same process, before the store's watch reports the
+// sheet. The process must accept the job kind.
 func TestSubmitJobAfterPutSheet(t *testing.T) {
 	fake := new(fakestore.Store).Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/proc/node/peer.go
+++ b/internal/proc/node/peer.go
@@ -56,7 +56,8 @@
 	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.ClaimReply { return b.HandleClaim(in) })
 }
 
-// Held reports the permits that this process uses of a target whose owner was lost.
+// Held reports the permits that this process uses of a target whose owner was lost, and gives the
+// target up if this process owns it by an older assignment.
 func (p *Peer) Held(in broker.HeldArgs, out *broker.HeldReply) error {
 	return withBroker(p, in.Service, out, func(b *broker.Broker) broker.HeldReply { return b.HandleHeld(in) })
 }
@@ -75,7 +76,7 @@
 }
 
 // Pull returns the records of non-idempotent requests for which the calling peer is the home or
-// the witness.
+// the backup.
 func (p *Peer) Pull(in once.PullArgs, out *once.PullReply) error {
 	*out = p.node.registry.HandlePull(in)
 	return nil
--- a/internal/proc/node/services.go
+++ b/internal/proc/node/services.go
@@ -38,7 +38,7 @@
 	declared    sheet.Service // its latest declaration
 	undeclared  bool          // the sheet in force doesn't declare it
 	broker      *broker.Broker
-	retryBudget *entry.RetryBudget // limits repeated attempts of the service's requests
+	retryBudget *entry.RetryBudget // limits retries and hedged attempts of the service's requests
 }
 
 // init prepares an empty set whose brokers run until ctx ends.
