--- a/internal/batch/rack/faults_test.go
+++ b/internal/batch/rack/faults_test.go
@@ -104,7 +104,8 @@
 	sim.AfterFunc(stepInterval, func() { sim.submitUntilStored(s) })
 }
 
-// killRackHolder ends a rack's holder; another takes over up to 7 s later, when its lease has expired.
+// killRackHolder ends a rack's holder. Another takes over after a random time below 7 s, which stands for the time
+// until the lease of the former holder's process has expired.
 func (sim *simulation) killRackHolder(rack string) {
 	holder := sim.rackHolders[rack]
 	if holder.dead {
@@ -114,7 +115,7 @@
 	sim.AfterFunc(time.Duration(sim.rand.IntN(7000))*time.Millisecond, func() { sim.startRackHolder(rack, holder.epoch+1) })
 }
 
-// killBucketHolder does the same to the bucket's holder.
+// killBucketHolder ends the bucket's holder. Another takes over after a random time below 7 s.
 func (sim *simulation) killBucketHolder() {
 	holder := sim.bucketHolder
 	if holder.dead {
--- a/internal/route/pool/simulation_test.go
+++ b/internal/route/pool/simulation_test.go
@@ -12,7 +12,7 @@
 )
 
 // simulation runs several cores and targets in virtual time, with a fixed delay for each message.
-// Targets count the requests that they are sent.
+// It counts the requests that run at each target.
 type simulation struct {
 	event.Queue       // scheduled events
 	rand              *rand.Rand
@@ -258,7 +258,7 @@
 	w.execute(id, w.cores[id].HandleResult(w.Now(), a.Permit, Result{Outcome: OutcomeOK, Took: w.Now().Sub(sentAt), Load: -1}))
 }
 
-// generateCalls makes calls arrive at random live cores, at a rate per second until the time.
+// generateCalls makes calls arrive at random live cores, at a rate per second, until the given time.
 func (w *simulation) generateCalls(rate float64, until time.Time, timeout time.Duration) {
 	var next func(id uint64)
 	next = func(id uint64) {
@@ -288,13 +288,13 @@
 		}
 	}
 	w.AfterFunc(leaseTime, func() {
-		at := 0
+		coreNumber := 0
 		for n := range w.targetsOf(id) {
-			for w.dead[fmt.Sprintf("e%d", at%len(w.cores))] {
-				at++
+			for w.dead[fmt.Sprintf("e%d", coreNumber%len(w.cores))] {
+				coreNumber++
 			}
-			to := fmt.Sprintf("e%d", at%len(w.cores))
-			at++
+			to := fmt.Sprintf("e%d", coreNumber%len(w.cores))
+			coreNumber++
 			addr := fmt.Sprintf("t%02d", n)
 			w.owners[addr] = to
 			w.execute(to, w.cores[to].AddTarget(w.Now(), addr, w.slots, w.outstanding(addr), w.slots))
@@ -380,13 +380,13 @@
 		free = append(free, slot{fmt.Sprintf("t%02d", i%targets)})
 	}
 	var start func(arrived time.Time)
-	start = func(came time.Time) {
-		at := w.rand.IntN(len(free))
-		s := free[at]
-		free[at] = free[len(free)-1]
+	start = func(arrived time.Time) {
+		index := w.rand.IntN(len(free))
+		s := free[index]
+		free[index] = free[len(free)-1]
 		free = free[:len(free)-1]
 		w.AfterFunc(w.serviceTime(s.target), func() {
-			_ = w.latencies.RecordValue(int64(w.Now().Sub(came) + 2*w.delay("e0", s.target)))
+			_ = w.latencies.RecordValue(int64(w.Now().Sub(arrived) + 2*w.delay("e0", s.target)))
 			free = append(free, s)
 			if len(waiting) > 0 {
 				next := waiting[0]
@@ -427,9 +427,9 @@
 	}
 	report()
 	var start func(t int, arrived time.Time)
-	start = func(t int, came time.Time) {
+	start = func(t int, arrived time.Time) {
 		w.AfterFunc(w.serviceTime(fmt.Sprintf("t%02d", t)), func() {
-			_ = w.latencies.RecordValue(int64(w.Now().Sub(came) + w.delay("e0", fmt.Sprintf("t%02d", t))))
+			_ = w.latencies.RecordValue(int64(w.Now().Sub(arrived) + w.delay("e0", fmt.Sprintf("t%02d", t))))
 			load[t]--
 			if len(queues[t]) > 0 {
 				next := queues[t][0]
@@ -439,7 +439,7 @@
 		})
 	}
 	w.generateArrivals(rate, span, func() {
-		core, came := w.rand.IntN(cores), w.Now()
+		core, arrived := w.rand.IntN(cores), w.Now()
 		a, b := w.rand.IntN(targets), w.rand.IntN(targets)
 		if reported[b]+sentSince[core][b] < reported[a]+sentSince[core][a] {
 			a = b
@@ -448,10 +448,10 @@
 		w.AfterFunc(w.delay("e0", fmt.Sprintf("t%02d", a)), func() {
 			load[a]++
 			if load[a] > slots {
-				queues[a] = append(queues[a], came)
+				queues[a] = append(queues[a], arrived)
 				return
 			}
-			start(a, came)
+			start(a, arrived)
 		})
 	})
 	return w.latencies
