--- a/internal/batch/sched/backoff.go
+++ b/internal/batch/sched/backoff.go
@@ -5,9 +5,9 @@
 const (
 	// stopDelay is the least time between the newest order to a run and a stop.
 	stopDelay = 300 * time.Millisecond
-	// maxUnsure is the longest time until a poll shows a run whose start got no answer. A poll that is in flight when
+	// maxUnknown is the longest time until a poll shows a run whose start got no answer. A poll that is in flight when
 	// the start is sent is included.
-	maxUnsure = pollIdle + stopDelay
+	maxUnknown = pollIdle + stopDelay
 	// minThrottleInterval is the least time between the newest order to a run and a throttle.
 	minThrottleInterval = 200 * time.Millisecond
 	// minBackoff is the pause after the first order to a run that got no answer, and maxBackoff is the
--- a/internal/batch/sched/backoff_test.go
+++ b/internal/batch/sched/backoff_test.go
@@ -80,7 +80,7 @@
 }
 
 // The same holds for throttles, of which best-effort tasks beside a latency-critical one need many.
-func TestPacesDontPileUp(t *testing.T) {
+func TestThrottlesDontPileUp(t *testing.T) {
 	b, latencyCritical, bestEffort := newColocated(t)
 	b.reportMeasurements(latencyCritical, bestEffort, 4*time.Millisecond, 3000)
 	for range 6 {
--- a/internal/batch/sched/bench_test.go
+++ b/internal/batch/sched/bench_test.go
@@ -27,9 +27,9 @@
 
 // Load of the benchmark.
 const (
-	servingPerWorker    = 0.8 // latency-critical jobs for each worker
-	bestEffortPerWorker = 6   // best-effort jobs for each worker at the start; most of them wait
-	workersPerPlan      = 48  // one worker in so many reports between two plans
+	latencyCriticalPerWorker = 0.8 // latency-critical jobs for each worker
+	bestEffortPerWorker      = 6   // best-effort jobs for each worker at the start; most of them wait
+	plansPerReport           = 48  // one worker in so many reports between two plans
 )
 
 // Tail latencies of latency-critical tasks under low load, and under so much that few best-effort tasks can be
@@ -53,8 +53,8 @@
 		p.reports[m.ID] = &sched.Report{StartedAt: 1}
 		p.hearWorker(m.ID)
 	}
-	for i := range int(servingPerWorker * float64(workers)) {
-		p.core.AddJob(p.now, servingJob(fmt.Sprintf("s%d", i), fmt.Sprintf("s%d", i%5)))
+	for i := range int(latencyCriticalPerWorker * float64(workers)) {
+		p.core.AddJob(p.now, latencyCriticalJob(fmt.Sprintf("s%d", i), fmt.Sprintf("s%d", i%5)))
 	}
 	p.planOrders()
 	for range min(bestEffortPerWorker*workers, 2000) {
@@ -90,13 +90,13 @@
 func (p *planBench) endTask(id string) {
 	r := p.reports[id]
 	r.Finished = nil
-	for i, row := range r.Running {
-		if row.TailLatency > 0 {
+	for i, status := range r.Running {
+		if status.TailLatency > 0 {
 			continue
 		}
 		p.lastSeq[id]++
 		r.Running = append(r.Running[:i:i], r.Running[i+1:]...)
-		r.Finished = []sched.FinishedRun{{Seq: p.lastSeq[id], Task: row.Task, Run: row.Run, End: sched.EndDone}}
+		r.Finished = []sched.FinishedRun{{Seq: p.lastSeq[id], Task: status.Task, Run: status.Run, End: sched.EndDone}}
 		p.unreplaced++
 		return
 	}
@@ -105,7 +105,7 @@
 // playEvents plays the reports and submissions between two plans.
 func (p *planBench) playEvents() {
 	p.now = p.now.Add(10 * time.Millisecond)
-	for range max(1, len(p.ids)/workersPerPlan) {
+	for range max(1, len(p.ids)/plansPerReport) {
 		id := p.ids[p.nextWorker%len(p.ids)]
 		p.nextWorker++
 		p.endTask(id)
@@ -127,14 +127,14 @@
 		if o.Starved {
 			p.starvedStarts++
 		}
-		row := sched.RunStatus{Task: o.Task.String(), Run: o.Run, Progress: 100, CPUUsage: 1500}
+		status := sched.RunStatus{Task: o.Task.String(), Run: o.Run, Progress: 100, CPUUsage: 1500}
 		if o.Task.Job[0] == 's' {
-			row.TailLatency = lowLoadTail
+			status.TailLatency = lowLoadTail
 			if p.lateJobs {
-				row.TailLatency = highLoadTail
+				status.TailLatency = highLoadTail
 			}
 		}
-		p.reports[o.Incarnation.ID].Running = append(p.reports[o.Incarnation.ID].Running, row)
+		p.reports[o.Incarnation.ID].Running = append(p.reports[o.Incarnation.ID].Running, status)
 	}
 }
 
@@ -177,8 +177,8 @@
 	b.ReportMetric(float64(p.starvedStarts)/float64(b.N), "starved/plan")
 }
 
-// servingJob returns a latency-critical job of six tasks.
-func servingJob(id, image string) *sched.Job {
+// latencyCriticalJob returns a latency-critical job of six tasks.
+func latencyCriticalJob(id, image string) *sched.Job {
 	return &sched.Job{ID: id, Queue: "serve", Service: "s", MaxAttempts: 2, AcceptedAt: epoch(), Steps: []sched.Step{{
 		Count: 6, Size: wire.Size{CPU: 2800, Mem: 6400}, LongRunning: true, Image: image, TailTarget: 24 * time.Millisecond,
 	}}}
--- a/internal/batch/sched/breaker_test.go
+++ b/internal/batch/sched/breaker_test.go
@@ -18,7 +18,7 @@
 	}
 	var ends []sched.FinishedRun
 	for i, o := range b.planOrders(sched.VerbStart) {
-		ends = append(ends, finishedRow(int64(i+1), o, sched.EndFailed))
+		ends = append(ends, finishedRun(int64(i+1), o, sched.EndFailed))
 	}
 	if len(ends) != jobs {
 		t.Fatalf("%d starts, want %d", len(ends), jobs)
--- a/internal/batch/sched/colocation.go
+++ b/internal/batch/sched/colocation.go
@@ -8,9 +8,9 @@
 
 // colocation is the state of a worker on which best-effort tasks run beside latency-critical ones.
 type colocation struct {
-	lastMeasurement   time.Time // when the last measurements that were used arrived
-	bestEffortActive  time.Time // when a best-effort task was last known to be active
-	bestEffortBlocked bool      // no more best-effort tasks are placed: a latency-critical one has long been over its target
+	lastMeasurement    time.Time // when the last measurements that were used arrived
+	bestEffortActiveAt time.Time // when a best-effort task was last known to be active
+	bestEffortBlocked  bool      // no more best-effort tasks are placed: a latency-critical one has long been over its target
 }
 
 const (
@@ -54,7 +54,7 @@
 	c.markStale(w)
 	usage := w.bestEffortUsage()
 	if w.bestEffortActive() {
-		w.colocation.bestEffortActive = now
+		w.colocation.bestEffortActiveAt = now
 	}
 	w.colocation.bestEffortBlocked = false
 	for _, r := range w.runList {
@@ -64,7 +64,7 @@
 		if step := r.task.step; r.ready {
 			c.interference.Observe(c.modelTime(now), c.loadOf(step), step.spec.Image, r.tailLatency, step.spec.TailTarget, usage)
 		}
-		r.updateOverTarget(now, latest(previous, now.Add(-maxMeasurementGap)), w.colocation.bestEffortActive)
+		r.updateOverTarget(now, latest(previous, now.Add(-maxMeasurementGap)), w.colocation.bestEffortActiveAt)
 		if !r.overTargetSince.IsZero() && now.Sub(r.overTargetSince) >= throttleAfter {
 			w.colocation.bestEffortBlocked = true
 		}
@@ -76,13 +76,13 @@
 // it. That may have begun right after the previous measurement: counting from the one that shows it would stop the
 // best-effort tasks up to a second late. As measurements are noisy, a single one below the target among others above
 // doesn't end it.
-func (r *run) updateOverTarget(now, previous, bestEffortActive time.Time) {
+func (r *run) updateOverTarget(now, previous, bestEffortActiveAt time.Time) {
 	target := float64(r.task.step.spec.TailTarget)
 	switch tail := float64(r.tailLatency); {
 	case tail < overTargetLeave*target:
 		r.overTargetSince = time.Time{}
 	case r.overTargetSince.IsZero() && tail < overTargetEnter*target:
-	case now.Sub(bestEffortActive) > measurementDelay:
+	case now.Sub(bestEffortActiveAt) > measurementDelay:
 		// No best-effort task is active, so the run is over its target by its own load.
 		r.overTargetSince = now
 	case r.overTargetSince.IsZero():
--- a/internal/batch/sched/colocation_test.go
+++ b/internal/batch/sched/colocation_test.go
@@ -14,7 +14,7 @@
 func (b *harness) reportMeasurements(critical, bestEffort sched.Order, tail time.Duration, cpuUsage float64) {
 	b.t.Helper()
 	b.advance(600 * time.Millisecond)
-	s, f := runningRow(critical), runningRow(bestEffort)
+	s, f := runStatus(critical), runStatus(bestEffort)
 	s.Progress, s.TailLatency = 100, tail
 	f.CPUUsage = cpuUsage
 	b.poll(critical.Incarnation.ID, sched.Report{Running: []sched.RunStatus{s, f}})
@@ -24,7 +24,7 @@
 func newColocated(t *testing.T) (b *harness, critical, bestEffort sched.Order) {
 	t.Helper()
 	b = newHarness(t, 1, 1).openWorkers()
-	j := servingJob("s", "serve")
+	j := latencyCriticalJob("s", "serve")
 	j.Steps[0].Count = 1
 	b.core.AddJob(b.now, j)
 	critical = b.planOrders(sched.VerbStart)[0]
@@ -108,7 +108,7 @@
 // images, both under some load, is placed beside the other.
 func TestPlacedWhereLeastInterference(t *testing.T) {
 	b := newHarness(t, 1, 2).openWorkers()
-	for _, j := range []*sched.Job{servingJob("s1", "a"), servingJob("s2", "b"), servingJob("s3", "a"), servingJob("s4", "b")} {
+	for _, j := range []*sched.Job{latencyCriticalJob("s1", "a"), latencyCriticalJob("s2", "b"), latencyCriticalJob("s3", "a"), latencyCriticalJob("s4", "b")} {
 		j.Steps[0].Count = 2
 		b.core.AddJob(b.now, j)
 	}
@@ -131,9 +131,9 @@
 		rows := func(tail time.Duration) []sched.RunStatus {
 			var all []sched.RunStatus
 			for _, s := range critical[image] {
-				row := runningRow(s)
-				row.Progress, row.TailLatency = 100, tail
-				all = append(all, row)
+				status := runStatus(s)
+				status.Progress, status.TailLatency = 100, tail
+				all = append(all, status)
 			}
 			return all
 		}
@@ -146,11 +146,11 @@
 		o := b.planOrders(sched.VerbStart)[0]
 		for range 40 {
 			b.advance(600 * time.Millisecond)
-			row := runningRow(o)
-			row.CPUUsage = 3000
-			b.poll(workers[image], sched.Report{Running: append(rows(tail), row)})
+			status := runStatus(o)
+			status.CPUUsage = 3000
+			b.poll(workers[image], sched.Report{Running: append(rows(tail), status)})
 		}
-		done := sched.Report{Running: rows(16 * time.Millisecond), Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}}
+		done := sched.Report{Running: rows(16 * time.Millisecond), Finished: []sched.FinishedRun{finishedRun(1, o, sched.EndDone)}}
 		for range 10 {
 			b.advance(600 * time.Millisecond)
 			b.poll(workers[image], done)
@@ -209,9 +209,9 @@
 // resources by then: its job is as late as this one task. It has to be resumed there from its checkpoint.
 func TestThrottledTaskMoves(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		saves bool // the task saves checkpoints
-		want  int  // stops within a second and a half
+		name         string
+		checkpointed bool // the task saves checkpoints
+		want         int  // stops within a second and a half
 	}{
 		{"with checkpoints", true, 1},
 		{"would lose its progress", false, 0},
@@ -221,12 +221,12 @@
 			// The only task on the second worker leaves no memory free there.
 			b.core.AddJob(b.now, oneTaskJob("big", func(j *sched.Job) { j.Steps[0].Size, j.Steps[0].RequiredLabel = wire.Size{CPU: 1000, Mem: 64000}, "w1" }))
 			big := b.planOrders(sched.VerbStart)[0]
-			criticalJob := servingJob("s", "serve")
+			criticalJob := latencyCriticalJob("s", "serve")
 			criticalJob.Steps[0].Count = 1
 			b.core.AddJob(b.now, criticalJob)
 			critical := b.planOrders(sched.VerbStart)[0]
 			job := bestEffortJob("f", "fill", 3000)
-			job.Steps[0].Count, job.Steps[0].Checkpointed = 1, tt.saves
+			job.Steps[0].Count, job.Steps[0].Checkpointed = 1, tt.checkpointed
 			b.core.AddJob(b.now, job)
 			bestEffort := b.planOrders(sched.VerbStart)[0]
 			for range 8 {
@@ -238,7 +238,7 @@
 					t.Fatalf("stopped without another feasible worker: %v", got)
 				}
 			}
-			b.poll(big.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, big, sched.EndDone)}})
+			b.poll(big.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(1, big, sched.EndDone)}})
 			var stops []sched.Order
 			for range 2 {
 				b.reportMeasurements(critical, bestEffort, 90*time.Millisecond, 0)
@@ -250,9 +250,9 @@
 			if tt.want == 0 {
 				return
 			}
-			end := finishedRow(1, bestEffort, sched.EndStopped)
+			end := finishedRun(1, bestEffort, sched.EndStopped)
 			end.Checkpoint = "half"
-			s := runningRow(critical)
+			s := runStatus(critical)
 			s.Progress, s.TailLatency = 100, 20*time.Millisecond
 			b.poll(critical.Incarnation.ID, sched.Report{Running: []sched.RunStatus{s}, Finished: []sched.FinishedRun{end}})
 			restarts := b.planOrders(sched.VerbStart)
--- a/internal/batch/sched/core_test.go
+++ b/internal/batch/sched/core_test.go
@@ -132,13 +132,13 @@
 	return map[string]string{"w0": "w1", "w1": "w0"}[o.Incarnation.ID]
 }
 
-// finishedRow returns the end of an order's run as its worker reports it.
-func finishedRow(seq int64, o sched.Order, how sched.End) sched.FinishedRun {
-	return sched.FinishedRun{Seq: seq, Task: o.Task.String(), Run: o.Run, End: how}
+// finishedRun returns the end of an order's run as its worker reports it.
+func finishedRun(seq int64, o sched.Order, end sched.End) sched.FinishedRun {
+	return sched.FinishedRun{Seq: seq, Task: o.Task.String(), Run: o.Run, End: end}
 }
 
-// runningRow returns an order's run as its worker reports it while it runs.
-func runningRow(o sched.Order) sched.RunStatus {
+// runStatus returns an order's run as its worker reports it while it runs.
+func runStatus(o sched.Order) sched.RunStatus {
 	return sched.RunStatus{Task: o.Task.String(), Run: o.Run}
 }
 
@@ -154,13 +154,13 @@
 		t.Fatalf("%d starts, want 1", len(first))
 	}
 	b.checkState("j", sched.StateRunning)
-	b.poll(first[0].Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, first[0], sched.EndDone)}})
+	b.poll(first[0].Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(1, first[0], sched.EndDone)}})
 	second := b.planOrders(sched.VerbStart)
 	if len(second) != 2 {
 		t.Fatalf("%d starts of the second step, want 2", len(second))
 	}
 	for i, o := range second {
-		b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(int64(i+2), o, sched.EndDone)}})
+		b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(int64(i+2), o, sched.EndDone)}})
 	}
 	b.checkState("j", sched.StateRunning)
 	b.storeChanges()
@@ -197,7 +197,7 @@
 	job := oneTaskJob("j", nil)
 	b.core.AddJob(b.now, job)
 	o := b.planOrders(sched.VerbStart)[0]
-	end := finishedRow(1, o, sched.EndFailed)
+	end := finishedRun(1, o, sched.EndFailed)
 	b.poll("w0", sched.Report{Finished: []sched.FinishedRun{end}})
 	data := b.storeChanges()["j"]
 
@@ -215,7 +215,7 @@
 	if len(retry) != 1 || retry[0].Run <= o.Run {
 		t.Fatalf("retry %v after run %d, want one start with a higher run number", retry, o.Run)
 	}
-	next.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRow(2, retry[0], sched.EndFailed)}})
+	next.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRun(2, retry[0], sched.EndFailed)}})
 	next.storeChanges()
 	next.checkState("j", sched.StateFailed)
 }
--- a/internal/batch/sched/feasible_test.go
+++ b/internal/batch/sched/feasible_test.go
@@ -8,7 +8,7 @@
 
 // Guards against counting a worker without a rack as two feasible workers: it would get more tasks of a step than
 // MaxPerWorker.
-func TestApartWithoutRack(t *testing.T) {
+func TestMaxPerWorkerWithoutRack(t *testing.T) {
 	b := newHarness(t, 1, 1)
 	all := members(1)
 	all[0].Rack = ""
--- a/internal/batch/sched/incarnation_test.go
+++ b/internal/batch/sched/incarnation_test.go
@@ -16,7 +16,7 @@
 	b.core.AddJob(b.now, oneTaskJob("b", nil))
 	var ends []sched.FinishedRun
 	for i, o := range b.planOrders(sched.VerbStart) {
-		ends = append(ends, finishedRow(int64(40+i), o, sched.EndDone))
+		ends = append(ends, finishedRun(int64(40+i), o, sched.EndDone))
 	}
 	b.poll("w0", sched.Report{Finished: ends})
 	b.poll("w0", sched.Report{StartedAt: 2})
@@ -124,7 +124,7 @@
 			b := newHarness(t, 1, 2).openWorkers()
 			b.core.AddJob(b.now, oneTaskJob("feed", longRunning))
 			o := b.planOrders(sched.VerbStart)[0]
-			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runningRow(o)}})
+			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runStatus(o)}})
 			directory := members(2)
 			for i := range directory {
 				if directory[i].ID == o.Incarnation.ID {
@@ -225,7 +225,7 @@
 	directory[0].StartedAt = 2
 	b.core.UpdateDirectory(b.now, directory)
 	b.planOrders(sched.VerbStart)
-	b.poll("w0", sched.Report{StartedAt: 2, Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
+	b.poll("w0", sched.Report{StartedAt: 2, Finished: []sched.FinishedRun{finishedRun(1, o, sched.EndDone)}})
 	b.storeChanges()
 	b.checkState("j", sched.StateCompleted)
 }
@@ -238,7 +238,7 @@
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
 	o := b.planOrders(sched.VerbStart)[0]
-	b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndFailed)}})
+	b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(1, o, sched.EndFailed)}})
 	b.storeChanges()
 	req, _ := b.core.NextPoll(b.now, o.Incarnation.ID)
 	if req.AckedSeq != 1 {
--- a/internal/batch/sched/lateorder_test.go
+++ b/internal/batch/sched/lateorder_test.go
@@ -26,7 +26,7 @@
 	if len(k) != 1 || k[0].Incarnation.ID != "w0" {
 		t.Fatalf("starts %v, want one on w0", k)
 	}
-	b.poll("w0", sched.Report{StartedAt: 2, Running: []sched.RunStatus{runningRow(k[0])}})
+	b.poll("w0", sched.Report{StartedAt: 2, Running: []sched.RunStatus{runStatus(k[0])}})
 	b.core.PollFailed(b.now, "w0", 2)
 	for b.now.Sub(ordered) < 12*time.Second+lease {
 		b.poll("w1", sched.Report{})
@@ -61,7 +61,7 @@
 	b.core.HandleOutcome(b.now, o, sched.OutcomeDone)
 	answered := b.now
 	b.core.MarkTracked(b.core.TrackedWorkers())
-	b.poll("w0", sched.Report{StartedAt: 2, Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
+	b.poll("w0", sched.Report{StartedAt: 2, Finished: []sched.FinishedRun{finishedRun(1, o, sched.EndDone)}})
 	b.core.AddJob(b.now, oneTaskJob("k", nil))
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 || got[0].Incarnation.ID != "w0" {
 		t.Fatalf("starts %v, want one on w0", got)
--- a/internal/batch/sched/model.go
+++ b/internal/batch/sched/model.go
@@ -18,9 +18,9 @@
 
 // storedLoad is the load forecast of a latency-critical step as it is stored.
 type storedLoad struct {
-	Job   string `json:"job"`
-	Round int    `json:"round,omitempty"` // number of the occurrence
-	Step  int    `json:"step,omitempty"`  // index of the step
+	Job        string `json:"job"`
+	Occurrence int    `json:"round,omitempty"` // number of the occurrence
+	Step       int    `json:"step,omitempty"`  // index of the step
 	interf.LoadFit
 }
 
@@ -56,7 +56,7 @@
 	now := c.modelTime(c.termStart)
 	c.interference.Restore(now, m.State)
 	for _, l := range m.Loads {
-		if t := c.findTask(TaskID{Job: l.Job, Occurrence: l.Round, Step: l.Step}); t != nil {
+		if t := c.findTask(TaskID{Job: l.Job, Occurrence: l.Occurrence, Step: l.Step}); t != nil {
 			c.interference.SeedLoad(c.loadOf(t.step), now, l.LoadFit)
 		}
 	}
--- a/internal/batch/sched/move_test.go
+++ b/internal/batch/sched/move_test.go
@@ -32,12 +32,12 @@
 			big := b.planOrders(sched.VerbStart)[0]
 			b.core.AddJob(b.now, oneTaskJob("j", func(j *sched.Job) { j.Steps[0].LongRunning, j.Steps[0].Image = tt.longRunning, "a" }))
 			first := b.planOrders(sched.VerbStart)[0]
-			status := runningRow(first)
+			status := runStatus(first)
 			status.Progress = 100
 			b.advance(100 * time.Millisecond)
 			b.poll("w0", sched.Report{Running: []sched.RunStatus{status}})
-			b.poll("w1", sched.Report{Finished: []sched.FinishedRun{finishedRow(1, big, sched.EndDone)}})
-			beside := servingJob("beside", tt.image)
+			b.poll("w1", sched.Report{Finished: []sched.FinishedRun{finishedRun(1, big, sched.EndDone)}})
+			beside := latencyCriticalJob("beside", tt.image)
 			beside.Steps[0].Count, beside.Steps[0].RequiredLabel = 2, "w1"
 			b.core.AddJob(b.now, beside)
 			b.planOrders(sched.VerbStart)
@@ -54,7 +54,7 @@
 			if !tt.wantMove {
 				return
 			}
-			b.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRow(1, first, sched.EndStopped)}})
+			b.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRun(1, first, sched.EndStopped)}})
 			starts := b.planOrders(sched.VerbStart)
 			if len(starts) != 1 || starts[0].Incarnation.ID != "w1" {
 				t.Errorf("starts %v after the stop, want one on w1", starts)
--- a/internal/batch/sched/outcome.go
+++ b/internal/batch/sched/outcome.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	// sickCooldown is how long a worker gets no start after it refused one as unavailable.
-	sickCooldown = time.Second
-	// roomCooldown is how long a worker gets no start after it had less free than the ledger says:
+	// unavailableCooldown is how long a worker gets no start after it refused one as unavailable.
+	unavailableCooldown = time.Second
+	// noResourcesCooldown is how long a worker gets no start after it had less free than the ledger says:
 	// a run that is being stopped still takes resources on the worker.
-	roomCooldown = 100 * time.Millisecond
+	noResourcesCooldown = 100 * time.Millisecond
 )
 
 // HandleOutcome records the outcome of an order. Unless the term is over, it must be called for each order that Plan
@@ -87,10 +87,10 @@
 		r.state = RunStopped
 		r.confirmedAt = now
 	case OutcomeNoResources:
-		w.breaker.TripUntil(now.Add(roomCooldown))
+		w.breaker.TripUntil(now.Add(noResourcesCooldown))
 		c.releaseRun(r)
 	case OutcomeUnavailable:
-		w.breaker.TripUntil(now.Add(sickCooldown))
+		w.breaker.TripUntil(now.Add(unavailableCooldown))
 		c.releaseRun(r)
 	default:
 		c.releaseRun(r)
--- a/internal/batch/sched/overload_test.go
+++ b/internal/batch/sched/overload_test.go
@@ -40,11 +40,11 @@
 		for _, e := range runs {
 			if e.endsAt.After(r.b.now) {
 				active = append(active, e)
-				rep.Running = append(rep.Running, runningRow(e.order))
+				rep.Running = append(rep.Running, runStatus(e.order))
 				continue
 			}
 			r.seq[id]++
-			rep.Finished = append(rep.Finished, finishedRow(r.seq[id], e.order, sched.EndDone))
+			rep.Finished = append(rep.Finished, finishedRun(r.seq[id], e.order, sched.EndDone))
 		}
 		r.runs[id] = active
 		if len(rep.Finished) > 0 || all() {
--- a/internal/batch/sched/place.go
+++ b/internal/batch/sched/place.go
@@ -254,7 +254,7 @@
 	s := t.step
 	s.pending--
 	if s.spec.BestEffort {
-		w.colocation.bestEffortActive = now
+		w.colocation.bestEffortActiveAt = now
 	}
 	c.attachRun(r)
 	c.startLimiter.add(r)
--- a/internal/batch/sched/plan.go
+++ b/internal/batch/sched/plan.go
@@ -102,7 +102,7 @@
 	case RunStopping:
 		return sinceOrder > stopDelay
 	case RunUnknown:
-		return sinceOrder > maxUnsure || r.absent && sinceOrder > stopDelay
+		return sinceOrder > maxUnknown || r.absent && sinceOrder > stopDelay
 	}
 	return false
 }
--- a/internal/batch/sched/simulation_test.go
+++ b/internal/batch/sched/simulation_test.go
@@ -83,13 +83,13 @@
 }
 
 // endRun ends the run of a task on a worker, or a random run if task is empty.
-func (l *simulation) endRun(id, task string, how End) {
+func (l *simulation) endRun(id, task string, end End) {
 	for i, r := range l.running[id] {
 		if task != "" && r.Task != task || task == "" && l.rand.IntN(2) == 0 {
 			continue
 		}
 		l.running[id] = append(l.running[id][:i:i], l.running[id][i+1:]...)
-		l.ended[id] = append(l.ended[id], FinishedRun{Seq: int64(len(l.ended[id]) + 1), Task: r.Task, Run: r.Run, End: how})
+		l.ended[id] = append(l.ended[id], FinishedRun{Seq: int64(len(l.ended[id]) + 1), Task: r.Task, Run: r.Run, End: end})
 		return
 	}
 }
--- a/internal/batch/sched/staleness.go
+++ b/internal/batch/sched/staleness.go
@@ -33,7 +33,7 @@
 // late, so it starts tasks on workers that announced seconds ago that they drain. Ages are measured up to the store's
 // last confirmation, so that starts continue while no process reaches the store.
 func (c *Core) StaleCause() UnsentCause {
-	directory, intent := c.readingAges()
+	directory, intent := c.readAges()
 	switch {
 	case directory > drainStartLimit-orderMargin:
 		return CauseStaleDirectory
@@ -43,14 +43,14 @@
 	return CauseNone
 }
 
-// readingAges returns how much older the reads of the directory and of the intent are than the store's last
+// readAges returns how much older the reads of the directory and of the intent are than the store's last
 // confirmation of this holder.
-func (c *Core) readingAges() (directory, intent time.Duration) {
-	return c.readingAge(c.directoryReadAt), c.readingAge(c.intentReadAt)
+func (c *Core) readAges() (directory, intent time.Duration) {
+	return c.readAge(c.directoryReadAt), c.readAge(c.intentReadAt)
 }
 
-// readingAge returns the same for one read. It returns 0 if no read has been recorded.
-func (c *Core) readingAge(at time.Time) time.Duration {
+// readAge returns the same for one read. It returns 0 if no read has been recorded.
+func (c *Core) readAge(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
 	}
--- a/internal/batch/sched/starve_test.go
+++ b/internal/batch/sched/starve_test.go
@@ -12,8 +12,8 @@
 // Guards against a best-effort job that never runs because its image would interfere with the latency-critical tasks of every
 // worker, while CPU is unused.
 func TestBestEffortTaskDoesNotStarve(t *testing.T) {
-	b, critical := newBenchNearTarget(t, 1)
-	row := critical["w0"]
+	b, critical := newHarnessNearTarget(t, 1)
+	status := critical["w0"]
 	job := bestEffortJob("f", "fill", 3000)
 	job.Steps[0].Count = 2
 	b.core.AddJob(b.now, job)
@@ -22,7 +22,7 @@
 	}
 	for waited := time.Duration(0); waited < 3*time.Second; waited += 200 * time.Millisecond {
 		b.advance(200 * time.Millisecond)
-		b.poll("w0", sched.Report{Running: []sched.RunStatus{row}})
+		b.poll("w0", sched.Report{Running: []sched.RunStatus{status}})
 		got := b.planOrders(sched.VerbStart)
 		if len(got) == 0 {
 			continue
@@ -30,7 +30,7 @@
 		if len(got) != 1 {
 			t.Fatalf("started %v, want one task of the starved job", got)
 		}
-		b.poll("w0", sched.Report{Running: []sched.RunStatus{row}, Finished: []sched.FinishedRun{finishedRow(1, got[0], sched.EndDone)}})
+		b.poll("w0", sched.Report{Running: []sched.RunStatus{status}, Finished: []sched.FinishedRun{finishedRun(1, got[0], sched.EndDone)}})
 		if next := b.planOrders(sched.VerbStart); len(next) != 1 {
 			t.Errorf("started %v after that task had ended, want the next one", next)
 		}
@@ -42,12 +42,12 @@
 // Guards against a starved job's task that runs unthrottled beside a latency-critical one until the next measurement, while
 // that one misses its target.
 func TestStarvedTaskIsThrottledAtOnce(t *testing.T) {
-	b, critical := newBenchNearTarget(t, 1)
-	row := critical["w0"]
+	b, critical := newHarnessNearTarget(t, 1)
+	status := critical["w0"]
 	b.core.AddJob(b.now, bestEffortJob("f", "fill", 6000))
 	b.planOrders(sched.VerbStart)
 	b.advance(2 * time.Second)
-	b.poll("w0", sched.Report{Running: []sched.RunStatus{row}})
+	b.poll("w0", sched.Report{Running: []sched.RunStatus{status}})
 	if got := b.planOrders(sched.VerbStart); len(got) != 1 {
 		t.Fatalf("started %v, want one task", got)
 	}
@@ -69,8 +69,8 @@
 	var rep sched.Report
 	var ends []sched.FinishedRun
 	for i, o := range b.planOrders(sched.VerbStart) {
-		rep.Running = append(rep.Running, runningRow(o))
-		ends = append(ends, finishedRow(int64(i+1), o, sched.EndDone))
+		rep.Running = append(rep.Running, runStatus(o))
+		ends = append(ends, finishedRun(int64(i+1), o, sched.EndDone))
 	}
 	if len(ends) != 5 {
 		t.Fatalf("%d tasks of the first job started, want 5", len(ends))
@@ -96,7 +96,7 @@
 	for range 3 {
 		lateStarts = append(lateStarts, planAfter(time.Second)...)
 		for _, o := range lateStarts {
-			rep.Running = append(rep.Running[:5:5], runningRow(o))
+			rep.Running = append(rep.Running[:5:5], runStatus(o))
 		}
 	}
 	if len(lateStarts) != 1 || lateStarts[0].Task.Job != "late" {
@@ -116,26 +116,26 @@
 	}
 }
 
-// newBenchNearTarget returns a harness with n workers, each with a latency-critical task at three quarters of its target, and
+// newHarnessNearTarget returns a harness with n workers, each with a latency-critical task at three quarters of its target, and
 // the statuses of these tasks by worker.
-func newBenchNearTarget(t *testing.T, n int) (b *harness, critical map[string]sched.RunStatus) {
+func newHarnessNearTarget(t *testing.T, n int) (b *harness, critical map[string]sched.RunStatus) {
 	t.Helper()
 	b = newHarness(t, 1, n).openWorkers()
 	for i := range n {
-		job := servingJob(fmt.Sprintf("s%d", i), "serve")
+		job := latencyCriticalJob(fmt.Sprintf("s%d", i), "serve")
 		job.Steps[0].Count, job.Steps[0].RequiredLabel = 1, fmt.Sprintf("w%d", i)
 		b.core.AddJob(b.now, job)
 	}
 	critical = map[string]sched.RunStatus{}
 	for _, o := range b.planOrders(sched.VerbStart) {
-		row := runningRow(o)
-		row.Progress, row.TailLatency = 100, 18*time.Millisecond
-		critical[o.Incarnation.ID] = row
+		status := runStatus(o)
+		status.Progress, status.TailLatency = 100, 18*time.Millisecond
+		critical[o.Incarnation.ID] = status
 	}
 	for range 10 {
 		b.advance(600 * time.Millisecond)
-		for id, row := range critical {
-			b.poll(id, sched.Report{Running: []sched.RunStatus{row}})
+		for id, status := range critical {
+			b.poll(id, sched.Report{Running: []sched.RunStatus{status}})
 		}
 	}
 	return b, critical
@@ -144,7 +144,7 @@
 // Guards against counting a job as starved when its next step begins to wait, as if the job had waited since it was accepted,
 // although a task of it ran until now.
 func TestNextStepIsNotStarved(t *testing.T) {
-	b, critical := newBenchNearTarget(t, 1)
+	b, critical := newHarnessNearTarget(t, 1)
 	job := bestEffortJob("f", "fill", 3000)
 	job.Steps = append([]sched.Step{{Count: 1, Size: wire.Size{CPU: 100, Mem: 100}, Estimate: time.Second}}, job.Steps...)
 	job.Steps[1].DependsOn = []int{0}
@@ -155,10 +155,10 @@
 	}
 	for range 5 {
 		b.advance(600 * time.Millisecond)
-		b.poll("w0", sched.Report{Running: []sched.RunStatus{critical["w0"], runningRow(got[0])}})
+		b.poll("w0", sched.Report{Running: []sched.RunStatus{critical["w0"], runStatus(got[0])}})
 		b.planOrders(sched.VerbStart)
 	}
-	b.poll("w0", sched.Report{Running: []sched.RunStatus{critical["w0"]}, Finished: []sched.FinishedRun{finishedRow(1, got[0], sched.EndDone)}})
+	b.poll("w0", sched.Report{Running: []sched.RunStatus{critical["w0"]}, Finished: []sched.FinishedRun{finishedRun(1, got[0], sched.EndDone)}})
 	if got := b.planOrders(sched.VerbStart); len(got) != 0 {
 		t.Errorf("started %v where they push a latency-critical task over its target, for a job that had a task running until now", got)
 	}
@@ -166,14 +166,14 @@
 
 // Guards against stopping a starved job's last task again and again to move it to a worker on which it interferes as much.
 func TestStarvedTaskIsNotMovedToEqualInterference(t *testing.T) {
-	b, critical := newBenchNearTarget(t, 2)
+	b, critical := newHarnessNearTarget(t, 2)
 	job := bestEffortJob("f", "fill", 6000)
 	job.Steps[0].Count, job.Steps[0].Checkpointed = 1, true
 	b.core.AddJob(b.now, job)
 	b.planOrders(sched.VerbStart)
 	b.advance(2 * time.Second)
-	for id, row := range critical {
-		b.poll(id, sched.Report{Running: []sched.RunStatus{row}})
+	for id, status := range critical {
+		b.poll(id, sched.Report{Running: []sched.RunStatus{status}})
 	}
 	got := b.planOrders(sched.VerbStart)
 	if len(got) != 1 {
@@ -185,10 +185,10 @@
 	critical[otherWorker(got[0])] = better
 	for range 20 {
 		b.advance(200 * time.Millisecond)
-		for id, row := range critical {
-			rep := sched.Report{Running: []sched.RunStatus{row}}
+		for id, status := range critical {
+			rep := sched.Report{Running: []sched.RunStatus{status}}
 			if id == worker {
-				rep.Running = append(rep.Running, runningRow(got[0]))
+				rep.Running = append(rep.Running, runStatus(got[0]))
 			}
 			b.poll(id, rep)
 		}
@@ -200,7 +200,7 @@
 
 // Guards against paused tasks of starved jobs that hold a worker's memory, so that a long-running task finds none.
 func TestStarvedTasksArePreempted(t *testing.T) {
-	b, critical := newBenchNearTarget(t, 1)
+	b, critical := newHarnessNearTarget(t, 1)
 	rep := sched.Report{Running: []sched.RunStatus{critical["w0"]}}
 	for i := range 30 {
 		job := bestEffortJob(fmt.Sprintf("f%d", i), "fill", 6000)
@@ -215,7 +215,7 @@
 		t.Fatal("nothing started")
 	}
 	for _, o := range starved {
-		rep.Running = append(rep.Running, runningRow(o))
+		rep.Running = append(rep.Running, runStatus(o))
 	}
 	b.advance(400 * time.Millisecond)
 	b.poll("w0", rep)
@@ -230,7 +230,7 @@
 		t.Errorf("stopped %v as well, want no more stops", more)
 	}
 	for i, o := range stops {
-		rep.Finished = append(rep.Finished, finishedRow(int64(i+1), o, sched.EndStopped))
+		rep.Finished = append(rep.Finished, finishedRun(int64(i+1), o, sched.EndStopped))
 	}
 	left := rep.Running[:0:0]
 	for _, r := range rep.Running {
@@ -249,7 +249,7 @@
 // Guards against a job that can be on time for long, but finds no worker for some of its tasks, keeping all late jobs from
 // running.
 func TestTimelyJobDoesNotStarveOthers(t *testing.T) {
-	b, critical := newBenchNearTarget(t, 1)
+	b, critical := newHarnessNearTarget(t, 1)
 	rep := sched.Report{Running: []sched.RunStatus{critical["w0"]}}
 	late := bestEffortJob("late", "fill", 3000)
 	late.AcceptedAt = b.now.Add(-time.Hour)
@@ -264,7 +264,7 @@
 			if o.Task.Job == "late" {
 				return
 			}
-			rep.Running = append(rep.Running, runningRow(o))
+			rep.Running = append(rep.Running, runStatus(o))
 		}
 	}
 	t.Error("nothing of the late job runs within 10s")
--- a/internal/batch/sched/stats.go
+++ b/internal/batch/sched/stats.go
@@ -32,7 +32,7 @@
 // Stats returns the state at now.
 func (c *Core) Stats(now time.Time) Stats {
 	s := Stats{ConfirmationAge: c.confirmationAge(now), OpenStarts: len(c.startLimiter.inFlight), StartWindow: c.startLimiter.window}
-	s.DirectoryAge, s.IntentAge = c.readingAges()
+	s.DirectoryAge, s.IntentAge = c.readAges()
 	for _, w := range c.workersByID {
 		switch w.contact {
 		case ContactGood:
--- a/internal/batch/sched/storequeue_test.go
+++ b/internal/batch/sched/storequeue_test.go
@@ -11,7 +11,7 @@
 
 // A job counts as started once a worker has started one of its tasks. If jobs whose start was never sent or was refused
 // count as started for good, a queue full of waiting jobs looks empty to callers.
-func TestPendingUntilTaken(t *testing.T) {
+func TestPendingUntilStarted(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		out      sched.Outcome
@@ -31,7 +31,7 @@
 			o := b.core.Plan(b.now)[0]
 			b.core.HandleOutcome(b.now, o, tt.out)
 			if tt.reported {
-				b.poll("w0", sched.Report{Running: []sched.RunStatus{runningRow(o)}})
+				b.poll("w0", sched.Report{Running: []sched.RunStatus{runStatus(o)}})
 			}
 			if got := b.core.PendingJobs("q"); got != tt.pending {
 				t.Errorf("%d pending jobs, want %d", got, tt.pending)
@@ -52,10 +52,10 @@
 	var ends []sched.FinishedRun
 	for _, o := range b.planOrders(sched.VerbStart) {
 		if o.Incarnation.ID == "w0" {
-			b.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
+			b.poll("w0", sched.Report{Finished: []sched.FinishedRun{finishedRun(1, o, sched.EndDone)}})
 			continue
 		}
-		ends = append(ends, finishedRow(int64(len(ends)+1), o, sched.EndDone))
+		ends = append(ends, finishedRun(int64(len(ends)+1), o, sched.EndDone))
 	}
 	b.poll("w1", sched.Report{Finished: ends})
 	for i, want := range []int64{1, 6} {
@@ -79,7 +79,7 @@
 func TestEndReportedOnce(t *testing.T) {
 	b := newHarness(t, 1, 1).openWorkers()
 	b.core.AddJob(b.now, oneTaskJob("j", nil))
-	end := finishedRow(1, b.planOrders(sched.VerbStart)[0], sched.EndDone)
+	end := finishedRun(1, b.planOrders(sched.VerbStart)[0], sched.EndDone)
 	for _, want := range []int{1, 0, 0} {
 		b.advance(time.Millisecond)
 		got := b.core.HandleReport(b.now, b.now, "w0", sched.Report{StartedAt: 1, Clock: b.now.Sub(epoch()), Finished: []sched.FinishedRun{end}})
@@ -99,7 +99,7 @@
 	}
 	fail := func(seq int64) {
 		for _, o := range b.planOrders(sched.VerbStart) {
-			b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(seq, o, sched.EndFailed)}})
+			b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(seq, o, sched.EndFailed)}})
 			seq++
 		}
 	}
--- a/internal/batch/sched/straggler_test.go
+++ b/internal/batch/sched/straggler_test.go
@@ -36,9 +36,9 @@
 			ends := map[string][]sched.FinishedRun{}
 			for _, o := range orders[1:] {
 				id := o.Incarnation.ID
-				ends[id] = append(ends[id], finishedRow(int64(len(ends[id])+1), o, sched.EndDone))
+				ends[id] = append(ends[id], finishedRun(int64(len(ends[id])+1), o, sched.EndDone))
 			}
-			status := runningRow(slow)
+			status := runStatus(slow)
 			status.Progress = tt.progress
 			for range 4 {
 				for _, id := range []string{"w0", "w1"} {
@@ -57,7 +57,7 @@
 			if !tt.want {
 				return
 			}
-			b.poll(slow.Incarnation.ID, sched.Report{Finished: append(ends[slow.Incarnation.ID], finishedRow(int64(len(ends[slow.Incarnation.ID])+1), slow, sched.EndStopped))})
+			b.poll(slow.Incarnation.ID, sched.Report{Finished: append(ends[slow.Incarnation.ID], finishedRun(int64(len(ends[slow.Incarnation.ID])+1), slow, sched.EndStopped))})
 			starts := b.planOrders(sched.VerbStart)
 			if len(starts) != 1 || starts[0].Incarnation.ID != otherWorker(slow) {
 				t.Errorf("starts %v, want one on %s", starts, otherWorker(slow))
--- a/internal/batch/sched/takeover_test.go
+++ b/internal/batch/sched/takeover_test.go
@@ -31,7 +31,7 @@
 	if len(restarts) != 1 || restarts[0].Incarnation.ID != other {
 		t.Fatalf("starts after the lease expiry: %v, want one on the other worker", restarts)
 	}
-	b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, o, sched.EndDone)}})
+	b.poll(o.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(1, o, sched.EndDone)}})
 	b.storeChanges()
 	b.checkState("j", sched.StateRunning)
 }
@@ -45,7 +45,7 @@
 			b := newHarness(t, 1, 2).openWorkers()
 			b.core.AddJob(b.now, oneTaskJob("feed", func(j *sched.Job) { j.Steps[0].LongRunning = true }))
 			o := b.planOrders(sched.VerbStart)[0]
-			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runningRow(o)}})
+			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runStatus(o)}})
 			b.now = b.now.Add(age)
 			b.core.NextPoll(b.now, o.Incarnation.ID)
 			lost := b.now
--- a/internal/batch/sched/unanswered_test.go
+++ b/internal/batch/sched/unanswered_test.go
@@ -23,10 +23,10 @@
 			t.Fatalf("orders %v before a poll could report the run", got)
 		}
 	}
-	b.core.HandleReport(sent, b.now, o.Incarnation.ID, sched.Report{StartedAt: 1, Clock: b.now.Sub(epoch()), Running: []sched.RunStatus{runningRow(o)}})
+	b.core.HandleReport(sent, b.now, o.Incarnation.ID, sched.Report{StartedAt: 1, Clock: b.now.Sub(epoch()), Running: []sched.RunStatus{runStatus(o)}})
 	for range 30 {
 		b.advance(100 * time.Millisecond)
-		b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runningRow(o)}})
+		b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runStatus(o)}})
 		if got := b.core.Plan(b.now); len(got) != 0 {
 			t.Fatalf("orders %v although the run was reported", got)
 		}
--- a/internal/batch/sched/unplaced_test.go
+++ b/internal/batch/sched/unplaced_test.go
@@ -20,7 +20,7 @@
 	}
 	reports := map[string]sched.Report{"w0": {}}
 	for _, o := range b.planOrders(sched.VerbStart) {
-		reports[o.Incarnation.ID] = sched.Report{Running: []sched.RunStatus{runningRow(o)}}
+		reports[o.Incarnation.ID] = sched.Report{Running: []sched.RunStatus{runStatus(o)}}
 	}
 	b.core.AddJob(b.now, oneTaskJob("late", nil))
 	var reported []sched.UnplacedStep
--- a/internal/batch/sched/utilization_test.go
+++ b/internal/batch/sched/utilization_test.go
@@ -20,14 +20,14 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newHarness(t, 1, 1).openWorkers()
-			critical := servingJob("s", "serve")
+			critical := latencyCriticalJob("s", "serve")
 			critical.Steps[0].Count = 5
 			b.core.AddJob(b.now, critical)
 			var rows []sched.RunStatus
 			for _, o := range b.planOrders(sched.VerbStart) {
-				row := runningRow(o)
-				row.Progress, row.TailLatency = 100, time.Duration(float64(4*time.Millisecond)/(1-tt.load))
-				rows = append(rows, row)
+				status := runStatus(o)
+				status.Progress, status.TailLatency = 100, time.Duration(float64(4*time.Millisecond)/(1-tt.load))
+				rows = append(rows, status)
 			}
 			if len(rows) != 5 {
 				t.Fatalf("%d latency-critical tasks placed, want 5", len(rows))
--- a/internal/batch/sched/waitqueue_test.go
+++ b/internal/batch/sched/waitqueue_test.go
@@ -28,7 +28,7 @@
 	for range 20 {
 		b.advance(time.Second)
 		for _, o := range workers {
-			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runningRow(o)}})
+			b.poll(o.Incarnation.ID, sched.Report{Running: []sched.RunStatus{runStatus(o)}})
 		}
 	}
 	var all []sched.Member
@@ -38,7 +38,7 @@
 		}
 	}
 	b.core.UpdateDirectory(b.now, all)
-	b.poll(old.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, old, sched.EndStopped)}})
+	b.poll(old.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(1, old, sched.EndStopped)}})
 	b.planOrders(sched.VerbStart)
 	for _, id := range []string{"new0", "new1"} {
 		b.advance(500 * time.Millisecond)
@@ -47,7 +47,7 @@
 	}
 	b.core.CancelJob(b.now, "beside")
 	b.planOrders(sched.VerbStop)
-	b.poll(beside.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRow(1, beside, sched.EndStopped)}})
+	b.poll(beside.Incarnation.ID, sched.Report{Finished: []sched.FinishedRun{finishedRun(1, beside, sched.EndStopped)}})
 	got := b.planOrders(sched.VerbStart)
 	if len(got) != 1 || got[0].Task.Job != "old" {
 		t.Errorf("resources for one task go to %v, want job old, which has waited longest", got)
