--- a/internal/batch/sched/backoff.go
+++ b/internal/batch/sched/backoff.go
@@ -5,8 +5,8 @@
 const (
 	// stopDelay is the least time between the newest order to a run and a stop.
 	stopDelay = 300 * time.Millisecond
-	// maxUnknown is the longest time until a poll shows a run whose start got no answer. A poll that is in flight when
-	// the start is sent is included.
+	// maxUnknown is how long after an unanswered start its run stays in state RunUnknown before it is stopped. It covers
+	// the longest time until a poll shows the run, including a poll that is in flight when the start is sent.
 	maxUnknown = pollIdle + stopDelay
 	// minThrottleInterval is the least time between the newest order to a run and a throttle.
 	minThrottleInterval = 200 * time.Millisecond
@@ -25,7 +25,7 @@
 type backoff struct {
 	inFlight  bool          // an order awaits its answer
 	notBefore time.Time     // earliest time of the next order
-	pause     time.Duration // pause after the newest order without an answer; 0: the newest order was answered
+	pause     time.Duration // pause after the newest order; 0: it was carried out
 }
 
 // ready reports whether an order may be sent.
@@ -38,7 +38,7 @@
 	b.inFlight = true
 }
 
-// markSettled records that the order in flight was carried out (done) or got no usable answer.
+// markSettled records that the order in flight was carried out (done), or that it was not sent or got no usable answer.
 func (b *backoff) markSettled(now time.Time, done bool) {
 	b.inFlight = false
 	if done {
--- a/internal/batch/sched/bench_test.go
+++ b/internal/batch/sched/bench_test.go
@@ -29,7 +29,7 @@
 const (
 	latencyCriticalPerWorker = 0.8 // latency-critical jobs for each worker
 	bestEffortPerWorker      = 6   // best-effort jobs for each worker at the start; most of them wait
-	plansPerReport           = 48  // one worker in so many reports between two plans
+	plansPerReport           = 48  // plans between two reports of a worker
 )
 
 // Tail latencies of latency-critical tasks under low load, and under so much that few best-effort tasks can be
--- a/internal/batch/sched/colocation.go
+++ b/internal/batch/sched/colocation.go
@@ -43,8 +43,8 @@
 	return r.task != nil && r.task.step.spec.BestEffort
 }
 
-// processMeasurements learns interference from the measurements in a worker's report, updates which latency-critical runs are
-// over target, and sets the CPU limits of the best-effort ones.
+// processMeasurements learns interference from the measurements in a worker's report, updates which latency-critical runs
+// are over target, and sets the wanted CPU limits of the best-effort ones.
 func (c *Core) processMeasurements(now time.Time, w *worker) {
 	if now.Sub(w.colocation.lastMeasurement) < minMeasurementInterval {
 		return
@@ -73,9 +73,9 @@
 }
 
 // updateOverTarget updates since when a latency-critical run has been over its target with best-effort tasks active beside
-// it. That may have begun right after the previous measurement: counting from the one that shows it would stop the
-// best-effort tasks up to a second late. As measurements are noisy, a single one below the target among others above
-// doesn't end it.
+// it. The run may have gone over its target right after the previous measurement: counting from the measurement that shows
+// it would stop the best-effort tasks up to a second late. As measurements are noisy, one below the target ends the time
+// over target only if it is also below overTargetLeave times the target.
 func (r *run) updateOverTarget(now, previous, bestEffortActiveAt time.Time) {
 	target := float64(r.task.step.spec.TailTarget)
 	switch tail := float64(r.tailLatency); {
@@ -90,7 +90,8 @@
 	}
 }
 
-// bestEffortActive reports whether a best-effort task is active on the worker. One whose state isn't known counts as active.
+// bestEffortActive reports whether a best-effort task of the worker is active: its CPU limit is above 0, or it isn't known
+// to run.
 func (w *worker) bestEffortActive() bool {
 	for _, r := range w.runList {
 		if r.bestEffort() && (r.cpuLimit > 0 || r.state != RunLive) {
@@ -100,8 +101,8 @@
 	return false
 }
 
-// exceedsCPULimit reports whether a best-effort run uses more CPU than its limit allows. The worker may have carried out an
-// earlier, unanswered throttle order after the newest one.
+// exceedsCPULimit reports whether a best-effort run uses more CPU than its limit allows. The worker may have carried out
+// an earlier, unanswered throttle order after the newest one.
 func (r *run) exceedsCPULimit(now time.Time) bool {
 	if !r.bestEffort() || r.cpuLimit == unknownCPULimit || now.Sub(r.cpuLimitSetAt) < 2*measurementDelay {
 		return false
--- a/internal/batch/sched/colocation_test.go
+++ b/internal/batch/sched/colocation_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// A latency-critical task that is over its target by its own load, with no best-effort task active, doesn't pause best-effort
-// tasks for good. Once it is well below its target, their CPU limit is lifted.
+// A latency-critical task that is over its target by its own load, with no best-effort task active, doesn't pause
+// best-effort tasks for good. Once it is well below its target, their CPU limit is lifted.
 func TestCPULimitRestored(t *testing.T) {
 	b, critical, bestEffort := newColocated(t)
 	b.reportMeasurements(critical, bestEffort, 4*time.Millisecond, 3000)
@@ -205,8 +205,8 @@
 	}
 }
 
-// Guards against a best-effort task that is paused during a load peak and stays on its worker, although another worker has the
-// resources by then: its job is as late as this one task. It has to be resumed there from its checkpoint.
+// Guards against a best-effort task that is paused during a load peak and stays on its worker, although another worker has
+// the resources by then: its job is as late as this one task. It has to be resumed there from its checkpoint.
 func TestThrottledTaskMoves(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
--- a/internal/batch/sched/core.go
+++ b/internal/batch/sched/core.go
@@ -10,7 +10,7 @@
 // Options are the settings of a Core.
 type Options struct {
 	WorkerLease    time.Duration // lease of a worker, counted from the last confirmation; its runs end when it expires
-	MaxWorkerLease time.Duration // longest lease that workers grant; at least WorkerLease
+	MaxWorkerLease time.Duration // longest lease that workers accept; raised to WorkerLease if shorter
 	MaxStopTime    time.Duration // longest time that a worker takes to stop a run
 	MaxUnconfirmed time.Duration // how long after a confirmation tasks are started and leases granted
 	Term           int64         // this holder's term; the high part of every run number
@@ -42,8 +42,8 @@
 	evacuatedZones     map[string]bool                     // failure domains that operators have taken out
 	startLimiter       startLimiter                        // bounds the starts in flight
 	planNumber         int                                 // number of the newest plan
-	onTimeUnplaced     map[string]int                      // by service: newest plan in which an on-time best-effort step found no worker
-	starvedRuns        int                                 // runs of starved jobs
+	onTimeUnplaced     map[string]int                      // by service: newest plan with an on-time best-effort step unplaced
+	starvedRuns        int                                 // runs that were started for starved jobs
 	infeasibleByClass  map[placementClass]*infeasibleSizes // sizes that found no worker
 	estimator          durationEstimator                   // expected durations of tasks
 	interference       interf.Model                        // what was learned of interference and load
@@ -81,8 +81,8 @@
 	checkpoints      map[TaskID]string     // newest checkpoint of each task that has one
 	version          int                   // incremented with every change
 	collectedVersion int                   // version in the newest record that was collected for the store
-	activeRuns       int                   // runs in the ledgers of workers
-	idleSince        time.Time             // since when a task waits without any run but starved ones; out of date while others exist
+	activeRuns       int                   // runs assigned to workers
+	idleSince        time.Time             // since when a task waits with no runs but starved ones; invalid while others exist
 	inNormalQueue    bool                  // in storeQueue.normal
 	inUrgentQueue    bool                  // in storeQueue.urgent
 }
@@ -109,18 +109,18 @@
 	unfinished        int                  // tasks that aren't done
 	ready             bool                 // the steps that it depends on are done
 	readyAt           time.Time            // when they were
-	fullyPlaced       bool                 // once, all of its tasks were placed at the same time
+	fullyPlaced       bool                 // the event that all of its tasks are placed was recorded
 	inWaitQueue       bool                 // in Core.waitQueue
 	queuedAt          time.Time            // when it entered the wait queue
 	precedence        precedence           // its rank in the wait queue
 	infeasible        *infeasibleSizes     // of its placement class; nil: not looked up yet
 	starved           bool                 // its job counts as starved; see Core.updateStarved
 	releasedAt        time.Time            // when the job was accepted or its occurrence fell due
-	unplacedSince     time.Time            // since when a task of it has found no worker; zero: none has lacked one
-	reportedWait      time.Duration        // how long it had been unplaced when that was last reported; 0: never reported
+	unplacedSince     time.Time            // when a task of it first found no worker; zero: never
+	reportedWait      time.Duration        // time since unplacedSince when that was last reported; 0: never reported
 	latestOnTimeStart time.Time            // latest start with which the occurrence is on time
 	latestUsefulStart time.Time            // latest start with which it ends late but useful
-	durations         []time.Duration      // of the runs of its tasks that have ended
+	durations         []time.Duration      // of the successful runs of its tasks, except adopted ones
 	load              *interf.LoadForecast // of a latency-critical step: the load from its users
 }
 
@@ -255,7 +255,8 @@
 	c.addOccurrence(now, j)
 }
 
-// addDueOccurrencesOf adds the occurrences of a recurring job that have fallen due, and reports whether more will.
+// addDueOccurrencesOf adds the occurrences of a recurring job that have fallen due, and reports whether others are not due
+// yet.
 func (c *Core) addDueOccurrencesOf(now time.Time, j *job) bool {
 	for len(j.occurrences) < j.OccurrenceCount {
 		if now.Before(j.FirstDue.Add(time.Duration(len(j.occurrences)) * j.Interval)) {
@@ -376,7 +377,7 @@
 	return forgotten
 }
 
-// completeIfDone finishes a job as completed if all tasks of all its occurrences are done.
+// completeIfDone gives a job the state StateCompleted if all tasks of all its occurrences are done.
 func (c *Core) completeIfDone(now time.Time, j *job) {
 	if j.state.Final() || len(j.occurrences) < max(j.OccurrenceCount, 1) {
 		return
@@ -391,7 +392,8 @@
 	c.finishJob(now, j, StateCompleted)
 }
 
-// releaseRun removes a run from its worker's ledger. Its task, unless done, can then be placed again.
+// releaseRun removes a run from its worker. If it is the current run of an unfinished task, the task waits to be placed
+// again.
 func (c *Core) releaseRun(r *run) {
 	c.detachRun(r)
 	t := r.task
--- a/internal/batch/sched/feasible.go
+++ b/internal/batch/sched/feasible.go
@@ -18,14 +18,14 @@
 	// advantageWeight is the weight of the advantage that interferenceOf returns against the expected violations.
 	advantageWeight = 0.5
 	// remoteRackPenalty lowers the score of a worker in another rack than the task's data, and avoidPenalty that of the
-	// worker on which the task failed or was throttled.
+	// worker on which the task failed or from which it was moved.
 	remoteRackPenalty = 1
 	avoidPenalty      = 10
 )
 
 // workerIndex holds a service's workers by free CPU and by rack.
 type workerIndex struct {
-	byDeclared bucket.Index[*worker] // by CPU that no task has declared
+	byDeclared bucket.Index[*worker] // by CPU that tasks have not declared
 	byUnused   bucket.Index[*worker] // by CPU expected to be unused, for best-effort tasks
 	byRack     map[string][]*worker  // by name of the rack
 }
@@ -117,8 +117,8 @@
 	scores  []float64 // of each worker; a higher one is better
 }
 
-// findFeasible returns the feasible workers for a step, of one rack unless rack is empty. The result is valid until the next
-// call, which reuses it.
+// findFeasible returns the feasible workers for a step, of one rack unless rack is empty. The result is valid until the
+// next call, which reuses it.
 func (c *Core) findFeasible(now time.Time, s *stepInstance, rack string) *feasibleWorkers {
 	c.refreshIndex(now)
 	f := &c.feasibleBuf
@@ -201,7 +201,7 @@
 	return score, ok
 }
 
-// eligible reports whether a step's tasks may be placed on a worker, resources aside.
+// eligible reports whether a worker meets the constraints on a step's tasks, apart from resources and reservations.
 func (w *worker) eligible(now time.Time, s *stepInstance) bool {
 	return w.schedulable(now) && w.hasLabel(s.spec.RequiredLabel) && (s.spec.MaxPerWorker == 0 || w.taskCount(s) < s.spec.MaxPerWorker)
 }
--- a/internal/batch/sched/forecast.go
+++ b/internal/batch/sched/forecast.go
@@ -21,17 +21,17 @@
 	aboveTarget float64         // expected pressure less the pressure at the target
 }
 
-// forecast is the expected state of a worker by which tasks are placed. As every waiting step asks for it, it is cached until
-// a run is added or removed, new measurements arrive, or maxForecastAge has passed and the loads have changed.
+// forecast is the expected state of a worker by which tasks are placed. As every waiting step asks for it, it is cached
+// until a run is added or removed, new measurements arrive, or it is so old (maxForecastAge) that the loads have changed.
 type forecast struct {
 	valid      bool                   // not invalidated since it was computed
 	computedAt time.Time              // when it was computed
-	unused     int                    // millicores expected to be unused
+	unused     int                    // millicores expected to be unused; starved runs count as using none
 	exposures  []interferenceExposure // of each latency-critical run
 }
 
-// maxForecastAge is how long a forecast is cached. A load that swings by half within 10 s changes by 0.03 meanwhile, half of
-// a measurement's noise.
+// maxForecastAge is how long a forecast is cached. A load that oscillates by half within 10 s changes by 0.03 meanwhile,
+// half of a measurement's noise.
 const maxForecastAge = 200 * time.Millisecond
 
 // forecast returns a worker's forecast, computing it if the cached one is out of date.
@@ -100,9 +100,9 @@
 	return violations, advantage * share
 }
 
-// modelTime returns a time in the interference model's unit, seconds since the Unix epoch, so that a fitted load forecast can
-// be handed over to another host. It counts from the wall clock at the start of the term, as setting the clock during the
-// term would shift every forecast swing against the load.
+// modelTime returns a time in the interference model's unit, seconds since the Unix epoch, so that a fitted load forecast
+// can be handed over to another host. It counts from the wall clock at the start of the term, as setting the clock during
+// the term would shift every forecast oscillation against the load.
 func (c *Core) modelTime(at time.Time) float64 {
 	return time.Duration(c.termStart.UnixNano()).Seconds() + at.Sub(c.termStart).Seconds()
 }
--- a/internal/batch/sched/job.go
+++ b/internal/batch/sched/job.go
@@ -44,11 +44,11 @@
 	DataRack       string        `json:"rack,omitempty"`    // rack of its input data; its tasks are slower elsewhere
 	MaxPerWorker   int           `json:"apart,omitempty"`   // most tasks of the step on one worker; 0: no limit
 	Speculative    bool          `json:"copies,omitempty"`  // a task may have more than one run at a time
-	LongRunning    bool          `json:"lasting,omitempty"` // tasks run until the job is cancelled and are restarted however they end
-	Image          string        `json:"image,omitempty"`   // program of the tasks; tasks of one image cause and suffer the same interference
-	TailTarget     time.Duration `json:"target,omitempty"`  // tail latency to keep; 0: its tasks are not latency-critical
+	LongRunning    bool          `json:"lasting,omitempty"` // tasks run until the job is cancelled, restarted however they end
+	Image          string        `json:"image,omitempty"`   // program; decides the interference that tasks cause and suffer
+	TailTarget     time.Duration `json:"target,omitempty"`  // tail latency to keep if long-running; 0: not latency-critical
 	BestEffort     bool          `json:"fills,omitempty"`   // uses only CPU time that other tasks leave unused
-	MaxUnavailable int           `json:"miss,omitempty"`    // most tasks that the scheduler itself may make unavailable at a time
+	MaxUnavailable int           `json:"miss,omitempty"`    // most tasks made unavailable at a time by scheduling; not enforced
 }
 
 // Job is what a caller submits, with the settings that its queue had at that time.
@@ -63,7 +63,7 @@
 	Steps           []Step        `json:"steps"`
 	FirstDue        time.Time     `json:"first,omitzero"`    // when the first occurrence is released, for a recurring job
 	Interval        time.Duration `json:"every,omitempty"`   // time between two occurrences
-	OccurrenceCount int           `json:"times,omitempty"`   // number of occurrences; 0: the job runs once, released when it is accepted
+	OccurrenceCount int           `json:"times,omitempty"`   // number of occurrences; 0: one, released when the job is accepted
 	Priority        int           `json:"prio,omitempty"`    // jobs of lower numbers are placed first
 	MaxAttempts     int           `json:"tries"`             // failed runs of one task that make the job fail
 	StretchFactor   float64       `json:"stretch,omitempty"` // multiple of the critical path in the relative deadline
@@ -146,7 +146,9 @@
 	Tries    int           // Job.MaxAttempts
 	Stretch  float64       // Job.StretchFactor
 	Aim      time.Duration // Job.DeadlineBase
-	Advised  bool          // a service of the operators decides which workers may run its steps; not served
+	// Advised means that a service of the operators decides which workers may run its steps. This is not supported: jobs of
+	// the queue are refused.
+	Advised bool
 }
 
 // Config is the configuration that operators have set. Version only grows.
--- a/internal/batch/sched/limiter.go
+++ b/internal/batch/sched/limiter.go
@@ -6,15 +6,16 @@
 )
 
 // startLimiter bounds the starts in flight to what this process and its workers answer in time. The window grows by one
-// with each prompt answer while it limits starts, and halves while late answers outnumber prompt ones. A task that is
-// held up by the window takes no resources on a worker; the steps that are first in the wait queue by then go next.
+// with each prompt answer while it limits starts, and halves while late answers outnumber prompt ones. A task that the
+// window delays takes no resources on a worker. When more starts may be sent, the steps that are then first in the wait
+// queue are placed.
 //
 // Without it, a thousand starts would be sent at once after a takeover. The holder would need longer to send them
 // than it waits for their answers, so tasks that run would be taken for lost and started again.
 type startLimiter struct {
 	window        int       // starts that may be in flight; 0: initialWindow
 	available     int       // starts that the current plan may still add
-	limited       bool      // the window kept a start from being planned
+	limited       bool      // the window kept the newest plan from adding a start
 	inFlight      []*run    // runs whose start was sent recently and isn't answered, oldest first
 	intervalStart time.Time // since when answers are counted
 	promptAnswers int       // prompt answers since then
--- a/internal/batch/sched/move.go
+++ b/internal/batch/sched/move.go
@@ -11,8 +11,8 @@
 	// moveAfterThrottled is how long a best-effort task is throttled before it is moved: a load peak that ends earlier
 	// costs less than a move.
 	moveAfterThrottled = 400 * time.Millisecond
-	// moveBeforeLeave is how long before its draining worker may leave a long-running task is moved: a stop takes up to
-	// 0.4 s.
+	// moveBeforeLeave is how long before the earliest departure of its draining worker a long-running task is moved: a
+	// stop takes up to 0.4 s.
 	moveBeforeLeave = 600 * time.Millisecond
 	// minMoveAffinity is the minimum affinity between a long-running task and the worker to which it is moved. Mixing
 	// images would leave no worker for the best-effort images that interfere with one of them.
--- a/internal/batch/sched/outcome.go
+++ b/internal/batch/sched/outcome.go
@@ -7,7 +7,7 @@
 const (
 	// unavailableCooldown is how long a worker gets no start after it refused one as unavailable.
 	unavailableCooldown = time.Second
-	// noResourcesCooldown is how long a worker gets no start after it had less free than the ledger says:
+	// noResourcesCooldown is how long a worker gets no start after it had less free than this holder counted:
 	// a run that is being stopped still takes resources on the worker.
 	noResourcesCooldown = 100 * time.Millisecond
 )
@@ -21,7 +21,7 @@
 	}
 	r := w.runs[runKey{o.Task, o.Run}]
 	if r != nil {
-		// Also for an order to a former incarnation: the run may stay in the ledger and get further orders.
+		// Also for an order to a former incarnation: the run may stay assigned to the worker and get further orders.
 		r.settleOrder(now, o.Verb, out)
 		if o.Verb == VerbStart {
 			c.startLimiter.recordAnswer(now, now.Sub(r.orderedAt), out)
--- a/internal/batch/sched/place.go
+++ b/internal/batch/sched/place.go
@@ -245,7 +245,7 @@
 	return max(t.lastRunNumber, term*runNumbersPerTerm) + 1
 }
 
-// startRun enters a new run of a task on a worker and returns the order that starts it.
+// startRun assigns a new run of a task to a worker and returns the order that starts it.
 func (c *Core) startRun(now time.Time, t *task, w *worker, number int64) Order {
 	r := &run{runKey: runKey{t.id(), number}, task: t, worker: w, state: RunSent, incarnation: w.StartedAt, orderedAt: now, startedAt: now, cpuLimit: fullCPULimit, wantedCPULimit: fullCPULimit,
 		starved: t.step.starved}
@@ -283,8 +283,8 @@
 	return size.Mem <= free.Mem && size.Accel <= free.Accel && (s.starved || float64(c.forecast(now, w).unused) >= minUnusedShare*float64(size.CPU))
 }
 
-// affinity returns how similar a worker's long-running tasks are to an image in their sensitivity to best-effort images, from
-// -1 to 1, weighted by declared CPU. Tasks of the same image count 1, others by their dissimilarity from 0 to -1.
+// affinity returns how similar a worker's long-running tasks are to an image in their sensitivity to best-effort images,
+// from -1 to 1, weighted by declared CPU. Tasks of the same image count 1, others by their dissimilarity from 0 to -1.
 //
 // Placing by affinity gathers an image on few workers. Others stay free of latency-critical tasks, for best-effort images
 // that interfere with all of them; and images that have to share a worker are ones with which the same best-effort images
--- a/internal/batch/sched/plan.go
+++ b/internal/batch/sched/plan.go
@@ -23,7 +23,7 @@
 	Run         int64         // number of the run
 	Spec        string        // of a start: the job's specification, passed on unchanged
 	Checkpoint  string        // of a start: checkpoint to resume from; empty: none
-	LeaseUntil  time.Duration // of a start: end of the lease to grant, on the worker's clock
+	LeaseUntil  time.Duration // of a start: end of the worker's lease that it carries, on the worker's clock
 	CPULimit    int           // of a throttle: percent of the declared CPU
 	// Starved is set for a start of a starved job's task: its job had nothing running, and the task may interfere with
 	// latency-critical ones.
--- a/internal/batch/sched/poll.go
+++ b/internal/batch/sched/poll.go
@@ -38,8 +38,8 @@
 	// pollIdle is the default. It leaves enough of the lease that the previous poll renewed: a holder that is lost just
 	// before its next poll is replaced before the lease expires.
 	pollIdle = 1400 * time.Millisecond
-	// pollColocated applies to a worker with best-effort tasks beside a latency-critical one. A measurement of tail
-	// latency covers half a second, and throttling has to react within a few measurements.
+	// pollColocated applies to a worker with best-effort tasks beside a long-running one, which may be latency-critical.
+	// A measurement of tail latency covers half a second, and throttling has to react within a few measurements.
 	pollColocated = 700 * time.Millisecond
 	// pollOverTarget applies to such a worker while a latency-critical task is over its latency target.
 	pollOverTarget = 300 * time.Millisecond
--- a/internal/batch/sched/record.go
+++ b/internal/batch/sched/record.go
@@ -11,12 +11,12 @@
 // storedProgress is the progress of a job as it is stored, beside the job itself.
 type storedProgress struct {
 	State       State                 `json:"state"`
-	Queue       string                `json:"queue,omitempty"`
-	EndedAt     time.Time             `json:"ended,omitzero"`
-	Started     bool                  `json:"begun,omitempty"`
-	Done        [][]string            `json:"done,omitempty"` // for each occurrence and step, one bit per task that is done, in hexadecimal
-	FailedRuns  map[string]failedRuns `json:"tries,omitempty"`
-	Checkpoints map[string]string     `json:"saves,omitempty"`
+	Queue       string                `json:"queue,omitempty"` // Job.Queue
+	EndedAt     time.Time             `json:"ended,omitzero"`  // when it reached its final state; zero: it has not
+	Started     bool                  `json:"begun,omitempty"` // a worker has started a task of it
+	Done        [][]string            `json:"done,omitempty"`  // by occurrence and step: a bit per task that is done, in hex
+	FailedRuns  map[string]failedRuns `json:"tries,omitempty"` // by task id
+	Checkpoints map[string]string     `json:"saves,omitempty"` // newest checkpoints, by task id
 }
 
 // JobRecord is the encoded progress of a job.
@@ -45,7 +45,7 @@
 }
 
 // CollectChanges returns a batch of up to most changed jobs, with the ends that may be acknowledged once it is
-// stored. A worker forgets an end that is acknowledged, so the job's progress including that end must be stored before.
+// stored. A worker forgets an end that is acknowledged, so the job's progress including that end must be stored first.
 func (c *Core) CollectChanges(most int) (*Batch, error) {
 	b := &Batch{states: map[string]State{}}
 	for len(b.Records) < most {
--- a/internal/batch/sched/reserve.go
+++ b/internal/batch/sched/reserve.go
@@ -11,8 +11,8 @@
 // maxReserveScans bounds the workers for which a plan estimates when a waiting long-running task will fit.
 const maxReserveScans = 1024
 
-// reservation is resources on a worker that a plan reserves for a long-running task, which waits for other tasks there to
-// end.
+// reservation is the part of a worker's resources that a plan keeps free for a long-running task, which waits for other
+// tasks there to end.
 type reservation struct {
 	plan int       // number of the plan; the reservation holds in this plan only
 	size wire.Size // of the long-running task
@@ -82,8 +82,8 @@
 	remaining time.Duration // until the run ends
 }
 
-// remaining returns the expected remaining time of a run. A run that exceeds its expected duration is assumed to need as much
-// time again as it is late.
+// remaining returns the expected remaining time of a run. A run that exceeds its expected duration is assumed to need as
+// much time again as it is late.
 func (c *Core) remaining(now time.Time, r *run) time.Duration {
 	s := r.task.step
 	return (c.estimator.estimate(s.job.Queue, s.spec.Estimate) - now.Sub(r.startedAt)).Abs()
--- a/internal/batch/sched/roster.go
+++ b/internal/batch/sched/roster.go
@@ -216,6 +216,7 @@
 	}
 }
 
+// compareID compares a worker's id with id.
 func compareID(w *worker, id string) int {
 	return strings.Compare(w.ID, id)
 }
--- a/internal/batch/sched/sendcheck.go
+++ b/internal/batch/sched/sendcheck.go
@@ -7,19 +7,20 @@
 
 // Causes for which orders are not sent.
 const (
-	CauseNone           UnsentCause = ""
+	CauseNone           UnsentCause = ""        // the order may be sent
 	CauseNotHolder      UnsentCause = "tenure"  // this process may no longer act as the holder
 	CauseRunGone        UnsentCause = "run"     // the run has been removed, or no longer needs the order
 	CauseIncarnation    UnsentCause = "life"    // the worker has restarted
 	CauseUnreachable    UnsentCause = "contact" // the last poll of the worker failed, or none has been answered yet
 	CauseShortLease     UnsentCause = "lease"   // too little is left of the lease that the start carries
-	CauseUnschedulable  UnsentCause = "closed"  // the worker is draining or missing from the directory, or its zone is evacuated
+	CauseUnschedulable  UnsentCause = "closed"  // the worker is draining or not in the directory, or its zone is evacuated
 	CauseStaleDirectory UnsentCause = "roster"  // the last read of the directory is too old, though the store answers
 	CauseStaleIntent    UnsentCause = "intent"  // the last read of the operators' intent is too old, though the store answers
 )
 
 // CheckSend is called right before an order is sent. It returns the cause for which the order must not be sent, or
-// CauseNone. The caller passes an order that it does not send to HandleOutcome with OutcomeUnsent.
+// CauseNone after recording now as the time of sending. The caller passes an order that it does not send to HandleOutcome
+// with OutcomeUnsent.
 //
 // It guards against orders that became outdated while they waited to be sent, which happens when there are many: a
 // worker would carry out a start for a job whose cancellation was acknowledged meanwhile, or from a holder whose
--- a/internal/batch/sched/sendcheck_test.go
+++ b/internal/batch/sched/sendcheck_test.go
@@ -8,8 +8,8 @@
 )
 
 // Guards against a task that starts seconds after the cancellation of its job was acknowledged. The order was planned
-// before, but the holder had so many orders to send that it was sent long after. The same delay lets a holder start
-// tasks that may no longer act, and gives a worker a lease that expires at once.
+// before, but the holder had so many orders to send that it was sent long after. By the same delay, a holder that may
+// no longer act would start tasks, and a worker would get a lease that expires at once.
 func TestStartIsRechecked(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
--- a/internal/batch/sched/starve.go
+++ b/internal/batch/sched/starve.go
@@ -8,8 +8,8 @@
 // starveAfter is how long a job with waiting best-effort tasks has nothing running before it counts as starved.
 const starveAfter = 2 * time.Second
 
-// maxOnTimeAge is how long after its release a job that can be on time keeps starved jobs from being placed. Its own relative
-// deadline would be no bound for them, as it grows with the job's work.
+// maxOnTimeAge is how long after its release a job that can be on time keeps starved jobs from being placed. Its relative
+// deadline would not bound their wait, as it grows with the job's work.
 const maxOnTimeAge = 8 * time.Second
 
 // countRun counts a run of the job that is added (sign 1) or removed (sign -1). If a removed run was known to run, the job
@@ -21,10 +21,11 @@
 	}
 }
 
-// updateStarved updates whether the step's job is starved. The best-effort tasks of a starved job are placed one at a time on
-// workers where they may interfere with latency-critical tasks, also if only memory is free there: throttled, a task makes
-// more progress than by waiting for a suitable worker that may never come. Other tasks are placed as if it weren't there,
-// and no starved task is placed while a job that can be on time is unplaced.
+// updateStarved updates whether the step's job is starved. The best-effort tasks of a starved job are placed one at a time
+// on workers where they may interfere with latency-critical tasks, also if only memory is free there: a throttled task
+// makes more progress than one that waits for a suitable worker, which may never come. Other tasks are placed as if a
+// starved one used no CPU, and no starved task is placed while a best-effort step of a job of the service that can be on
+// time is unplaced (see maxOnTimeAge).
 func (c *Core) updateStarved(now time.Time, s *stepInstance) {
 	j := s.job
 	if j.idleSince.IsZero() {
@@ -38,8 +39,8 @@
 }
 
 // preemptStarved preempts starved runs for a long-running task that lacks only the memory which they hold, on the worker
-// where the fewest have to be stopped. Paused, they would hold it for as long as the latency-critical tasks there are near
-// their targets.
+// where the fewest have to be stopped. While paused, they would hold the memory for as long as the latency-critical tasks
+// there are near their targets.
 func (c *Core) preemptStarved(now time.Time, s *stepInstance) {
 	if c.starvedRuns == 0 {
 		return
--- a/internal/batch/sched/starve_test.go
+++ b/internal/batch/sched/starve_test.go
@@ -9,8 +9,8 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// Guards against a best-effort job that never runs because its image would interfere with the latency-critical tasks of every
-// worker, while CPU is unused.
+// Guards against a best-effort job that never runs because its image would interfere with the latency-critical tasks of
+// every worker, while CPU is unused.
 func TestBestEffortTaskDoesNotStarve(t *testing.T) {
 	b, critical := newHarnessNearTarget(t, 1)
 	status := critical["w0"]
@@ -116,8 +116,8 @@
 	}
 }
 
-// newHarnessNearTarget returns a harness with n workers, each with a latency-critical task at three quarters of its target, and
-// the statuses of these tasks by worker.
+// newHarnessNearTarget returns a harness with n workers, each with a latency-critical task at three quarters of its target,
+// and the statuses of these tasks by worker.
 func newHarnessNearTarget(t *testing.T, n int) (b *harness, critical map[string]sched.RunStatus) {
 	t.Helper()
 	b = newHarness(t, 1, n).openWorkers()
@@ -141,8 +141,8 @@
 	return b, critical
 }
 
-// Guards against counting a job as starved when its next step begins to wait, as if the job had waited since it was accepted,
-// although a task of it ran until now.
+// Guards against counting a job as starved when its next step begins to wait, as if the job had waited since it was
+// accepted, although a task of it ran until now.
 func TestNextStepIsNotStarved(t *testing.T) {
 	b, critical := newHarnessNearTarget(t, 1)
 	job := bestEffortJob("f", "fill", 3000)
--- a/internal/batch/sched/stats.go
+++ b/internal/batch/sched/stats.go
@@ -10,12 +10,12 @@
 	WithheldTasks    int           // tasks not started as a worker out of contact may still run them
 	WithheldFor      time.Duration // longest time for which they are still withheld
 	ConfirmationAge  time.Duration // time since this process was last confirmed as the holder
-	DirectoryAge     time.Duration // by how much the directory read in use is older than the store's last confirmation of this holder
+	DirectoryAge     time.Duration // age of the directory read in use at the store's last confirmation of this holder
 	IntentAge        time.Duration // the same for the read of the operators' intent
 	OpenStarts       int           // starts in flight
 	StartWindow      int           // starts that may be in flight
 	WaitingSteps     int           // unplaced steps: those with a task that found no worker
-	LongestWait      time.Duration // longest time that one of these has been unplaced
+	LongestWait      time.Duration // longest time since a task of one of these first found no worker
 }
 
 // unseenTasks returns the number of waiting tasks of which this holder has seen no run.
--- a/internal/batch/sched/straggler.go
+++ b/internal/batch/sched/straggler.go
@@ -27,7 +27,7 @@
 }
 
 // isStraggler reports whether a run is so far behind the other tasks of its step that its task would finish sooner if
-// restarted on another worker.
+// restarted on another worker. Runs of long-running steps and gangs, and runs that have been throttled, don't count.
 //
 // It guards against a worker that becomes slow or makes no progress: a job whose other tasks finished long ago would
 // wait for the task on that worker.
--- a/internal/batch/sched/takeover_test.go
+++ b/internal/batch/sched/takeover_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// The same with a task that has ended on the worker and whose end comes in a later report. A start before that report
-// would run the task again after its success.
+// As TestFullReportShowsRuns, but the task has ended on the worker and its end comes in a later report. A start before
+// that report would run the task again after its success.
 func TestFullReportDelaysStart(t *testing.T) {
 	b := newHarness(t, 2, 2)
 	if err := b.core.RestoreJob(b.now, "old", oneTaskJob("old", nil), nil); err != nil {
--- a/internal/batch/sched/throttle.go
+++ b/internal/batch/sched/throttle.go
@@ -135,7 +135,7 @@
 	return sum
 }
 
-// bestEffortRuns returns the worker's best-effort runs that are known to run, by their start and their task's name.
+// bestEffortRuns returns the worker's best-effort runs that are known to run, sorted by start time and task id.
 func (w *worker) bestEffortRuns() []*run {
 	var runs []*run
 	for _, r := range w.runList {
--- a/internal/batch/sched/unplaced.go
+++ b/internal/batch/sched/unplaced.go
@@ -18,7 +18,7 @@
 	NoResources  int           // workers without the resources for a task, or where they are reserved
 	NoMemory     int           // of these, workers that lack memory but not CPU
 	Interference int           // workers where a task would interfere too much with latency-critical ones
-	// LeastViolations is the least among the workers counted in Interference of the expected violations: the number of
+	// LeastViolations is the lowest number of expected violations among the workers counted in Interference, that is, of
 	// latency-critical tasks that a task would push over their targets.
 	LeastViolations float64
 }
@@ -26,8 +26,8 @@
 // unplacedAfter is how long a step has waited when it is first reported. Steps that are on time usually wait for less.
 const unplacedAfter = time.Second
 
-// TakeUnplacedSteps returns the unplaced steps to report since the last call. A step is reported again each time its wait has
-// doubled.
+// TakeUnplacedSteps returns the unplaced steps to report since the last call. A step is reported again each time its wait
+// has doubled.
 func (c *Core) TakeUnplacedSteps() []UnplacedStep {
 	steps := c.unreportedUnplaced
 	c.unreportedUnplaced = nil
--- a/internal/batch/sched/unplaced_test.go
+++ b/internal/batch/sched/unplaced_test.go
@@ -8,8 +8,8 @@
 	"bramleysail.example/bramleysail/internal/batch/wire"
 )
 
-// A job is late because the only worker with free resources is draining. That is reported each time its wait has doubled, not
-// with each plan.
+// A job is late because the only worker with free resources is draining. That is reported each time its wait has doubled,
+// not with each plan.
 func TestUnplacedSteps(t *testing.T) {
 	b := newHarness(t, 1, 3).openWorkers()
 	all := members(3)
--- a/internal/batch/sched/utilization_test.go
+++ b/internal/batch/sched/utilization_test.go
@@ -7,8 +7,8 @@
 	"bramleysail.example/bramleysail/internal/batch/sched"
 )
 
-// Latency-critical tasks declare nearly all CPU. If they use a quarter of it, best-effort tasks are placed on the unused CPU;
-// if they use most of it, fewer of them are.
+// Latency-critical tasks declare nearly all CPU. If they use a quarter of it, best-effort tasks are placed on the unused
+// CPU; if they use most of it, fewer of them are.
 func TestObservedUtilization(t *testing.T) {
 	for _, tt := range []struct {
 		name string
--- a/internal/batch/sched/waitqueue.go
+++ b/internal/batch/sched/waitqueue.go
@@ -29,7 +29,8 @@
 	lateUseless                        // too late to be useful
 )
 
-// precedence decides which of two steps is placed first: the fields are compared in their order, and the lesser one is first.
+// precedence decides which of two steps is placed first: the fields are compared in their order, and the step with the
+// lesser value is first.
 type precedence struct {
 	batch      bool       // not long-running
 	priority   int        // of the job; 0 comes first
--- a/internal/batch/sched/worker.go
+++ b/internal/batch/sched/worker.go
@@ -73,7 +73,7 @@
 
 // States of contact with a worker.
 const (
-	ContactNone Contact = ""     // the worker has not been fenced by this holder yet
+	ContactNone Contact = ""     // this incarnation has not answered a poll yet, so this holder has not fenced it
 	ContactGood Contact = "good" // the last poll was answered
 	ContactLost Contact = "lost" // the last poll failed
 )
@@ -90,7 +90,7 @@
 	evacuated         bool          // its zone is evacuated
 	drainUntil        time.Time     // earliest time at which the draining worker may leave; zero: not draining
 	tracked           bool          // listed in the stored record of workers that may hold runs
-	inherited         bool          // tracked when this holder took over; an order of the former holder may also have gone to another incarnation
+	inherited         bool          // tracked at the takeover; orders of the former holder may have gone to any incarnation
 	contact           Contact       // result of the last poll
 	leaseUntil        time.Duration // end of the lease granted to this incarnation, on the worker's clock
 	leaseExpiry       time.Time     // time by which all of its runs have ended unless the lease is renewed
@@ -127,7 +127,7 @@
 const (
 	RunSent     RunState = "sent"     // the start is in flight
 	RunLive     RunState = "live"     // the run is active on the worker
-	RunUnknown  RunState = "unsure"   // the start got no answer: the run may begin at any time until it is stopped or the lease expires
+	RunUnknown  RunState = "unsure"   // the start got no answer: the run may begin until it is stopped or the lease expires
 	RunStopping RunState = "stopping" // the run has to be stopped
 	RunStopped  RunState = "stopped"  // the stop is acknowledged; the run is removed by the next report that does not list it
 )
@@ -146,7 +146,7 @@
 	throttleBackoff backoff       // spaces out throttle orders
 	startedAt       time.Time     // time of the start order, or of the first report for an adopted run
 	confirmedAt     time.Time     // time at which the run was confirmed as active or its stop as acknowledged
-	cpuLimit        int           // CPU limit that the worker acknowledged, percent
+	cpuLimit        int           // CPU limit that the worker acknowledged, percent; or unknownCPULimit
 	cpuLimitSetAt   time.Time     // time of that acknowledgement
 	wantedCPULimit  int           // CPU limit that the run should have, percent
 	throttledSince  time.Time     // since when wantedCPULimit is below minKeepCPULimit; zero: it is not
@@ -159,7 +159,7 @@
 	overTargetSince time.Time     // since when the tail latency is over its target; zero: it is not
 }
 
-// free returns the capacity that no run has been allocated.
+// free returns the capacity that is not allocated to runs. Best-effort runs take memory and accelerators of it, but no CPU.
 func (w *worker) free() wire.Size {
 	f := w.Size.Minus(w.allocated)
 	f.Mem -= w.bestEffortMem
