--- a/internal/batch/hold/rack.go
+++ b/internal/batch/hold/rack.go
@@ -244,7 +244,7 @@
 		r.update(func(now time.Time) {
 			for name, replies := range reply.Answers {
 				if i < len(replies) {
-					r.core.HandleAnswer(now, name, replies[i])
+					r.core.HandleReply(now, name, replies[i])
 					r.waitingTasks[name], r.urgentTasks[name] = replies[i].Waiting, replies[i].Urgent
 				}
 			}
--- a/internal/batch/rack/bench_test.go
+++ b/internal/batch/rack/bench_test.go
@@ -46,11 +46,11 @@
 			var before, after runtime.MemStats
 			for range b.N {
 				c := newBenchCore(now, workers)
-				c.HandleAnswer(now, "b", jobs.RackReply{OK: true})
+				c.HandleReply(now, "b", jobs.RackReply{OK: true})
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				start := time.Now()
-				c.HandleAnswer(now, "b", jobs.RackReply{OK: true, Run: tasks})
+				c.HandleReply(now, "b", jobs.RackReply{OK: true, Run: tasks})
 				actions := c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now})
 				elapsed += time.Since(start)
 				if len(actions) < len(tasks) {
@@ -73,8 +73,8 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
 			c := newBenchCore(now, workers)
-			c.HandleAnswer(now, "b", jobs.RackReply{OK: true})
-			c.HandleAnswer(now, "b", jobs.RackReply{OK: true, Run: benchTasks(20 * workers)})
+			c.HandleReply(now, "b", jobs.RackReply{OK: true})
+			c.HandleReply(now, "b", jobs.RackReply{OK: true, Run: benchTasks(20 * workers)})
 			for _, a := range c.Tick(now, ZoneStatus{Usable: true, ConfirmedAt: now}) {
 				if s, ok := a.(Start); ok {
 					c.HandleStartResult(now, s.Placement, CommandResult{Report: wire.Report{Size: wire.Size{CPU: 60000, Mem: 250000}}})
--- a/internal/batch/rack/commands.go
+++ b/internal/batch/rack/commands.go
@@ -196,9 +196,9 @@
 	}
 }
 
-// HandleAnswer handles a bucket's reply to a report. The tasks in it replace those that the bucket wanted before.
+// HandleReply handles a bucket's reply to a report. The tasks in it replace those that the bucket wanted before.
 // A task in the bucket's first reply that has no run may have been started by a former holder.
-func (c *Core) HandleAnswer(now time.Time, bucket string, reply jobs.RackReply) {
+func (c *Core) HandleReply(now time.Time, bucket string, reply jobs.RackReply) {
 	if !reply.OK {
 		return
 	}
--- a/internal/batch/rack/core_test.go
+++ b/internal/batch/rack/core_test.go
@@ -29,7 +29,7 @@
 	c.SetWorkers([]string{"w"})
 	h.deliver(c, h.tick(c))
 	h.deliver(c, h.tick(c))
-	c.HandleAnswer(h.now, "b", jobs.RackReply{OK: true})
+	c.HandleReply(h.now, "b", jobs.RackReply{OK: true})
 	return c
 }
 
@@ -66,7 +66,7 @@
 // wantTask passes the core a reply in which the bucket wants one task.
 func (h *harness) wantTask(c *Core) jobs.Placement {
 	p := jobs.Placement{Job: "audit", Index: 0, No: 1}
-	c.HandleAnswer(h.now, "b", jobs.RackReply{OK: true, Run: []jobs.Task{{Place: p,
+	c.HandleReply(h.now, "b", jobs.RackReply{OK: true, Run: []jobs.Task{{Place: p,
 		Spec: jobs.Spec{ID: "audit", N: 1, Size: wire.Size{CPU: 1000, Mem: 1000}, Run: time.Hour}}}})
 	return p
 }
@@ -201,7 +201,7 @@
 		if n, _ := bucket.CountWaiting(); n != waiting {
 			t.Errorf("%s: %d tasks wait, want %d", when, n, waiting)
 		}
-		c.HandleAnswer(h.now, "b", a)
+		c.HandleReply(h.now, "b", a)
 	}
 	exchange("at the first offer", 2, c.BuildReport("b", true))
 	exchange("before the store has the placement", 2, c.BuildReport("b", true))
--- a/internal/batch/rack/simulation_test.go
+++ b/internal/batch/rack/simulation_test.go
@@ -231,7 +231,7 @@
 		}
 	}, func() {
 		if !h.dead {
-			h.core.HandleAnswer(sim.Now(), "b", reply)
+			h.core.HandleReply(sim.Now(), "b", reply)
 			sim.AfterFunc(stepInterval, again)
 		}
 	}, func() { sim.AfterFunc(stepInterval, again) })
--- a/internal/batch/sched/staleness_test.go
+++ b/internal/batch/sched/staleness_test.go
@@ -16,7 +16,7 @@
 
 // Guards against starts on a worker that announced seconds ago that it drains, or in a zone that was evacuated. The
 // holder stays confirmed all the time, but its reads of the store come late.
-func TestStaleReadingBlocksStarts(t *testing.T) {
+func TestStaleReadBlocksStarts(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		read func(*sched.Core, time.Time)
--- a/internal/proc/node/admin.go
+++ b/internal/proc/node/admin.go
@@ -25,14 +25,14 @@
 
 // Error codes of the administration API, with their HTTP status.
 const (
-	AdminUnauthorized    AdminCode = "token"        // 401: the administration token is missing or wrong
-	AdminInvalid         AdminCode = "invalid"      // 400: the request is invalid
-	AdminConflict        AdminCode = "conflict"     // 409: the configuration changed in between, or a different job has the id
-	AdminUnconfirmedDrop AdminCode = "shrunken"     // 409: the sheet removes half or more of what is declared and this was not confirmed
-	AdminUnknownZone     AdminCode = "unknown-zone" // 404: the failure domain is not declared
-	AdminNotFound        AdminCode = "not-found"    // 404: no such job
-	AdminBucketFull      AdminCode = "full"         // 503: the job's bucket is full; nothing was changed
-	AdminStoreFailure    AdminCode = "store"        // 503 or 500: the store failed or the job's bucket was not reached; the outcome may be unknown
+	AdminUnauthorized       AdminCode = "token"        // 401: the administration token is missing or wrong
+	AdminInvalid            AdminCode = "invalid"      // 400: the request is invalid
+	AdminConflict           AdminCode = "conflict"     // 409: the configuration changed in between, or a different job has the id
+	AdminUnconfirmedRemoval AdminCode = "shrunken"     // 409: the sheet removes half or more of what is declared and this was not confirmed
+	AdminUnknownZone        AdminCode = "unknown-zone" // 404: the failure domain is not declared
+	AdminNotFound           AdminCode = "not-found"    // 404: no such job
+	AdminBucketFull         AdminCode = "full"         // 503: the job's bucket is full; nothing was changed
+	AdminStoreFailure       AdminCode = "store"        // 503 or 500: the store failed or the job's bucket was not reached; the outcome may be unknown
 )
 
 // Problem is the body of an error response of the administration API.
@@ -101,7 +101,7 @@
 	case errors.Is(err, sheet.ErrConflict):
 		writeJSON(w, http.StatusConflict, Problem{AdminConflict, err.Error()})
 	case errors.Is(err, sheet.ErrUnconfirmedRemoval):
-		writeJSON(w, http.StatusConflict, Problem{AdminUnconfirmedDrop, err.Error()})
+		writeJSON(w, http.StatusConflict, Problem{AdminUnconfirmedRemoval, err.Error()})
 	case errors.Is(err, sheet.ErrUnknownZone):
 		writeJSON(w, http.StatusNotFound, Problem{AdminUnknownZone, err.Error()})
 	case errors.Is(err, store.ErrOutcomeUnknown):
--- a/internal/proc/tool/admin.go
+++ b/internal/proc/tool/admin.go
@@ -82,7 +82,7 @@
 	switch code {
 	case node.AdminInvalid, node.AdminUnknownZone, node.AdminNotFound:
 		return ExitInvalid
-	case node.AdminConflict, node.AdminUnconfirmedDrop:
+	case node.AdminConflict, node.AdminUnconfirmedRemoval:
 		return ExitConflict
 	case node.AdminStoreFailure:
 		return ExitOutcomeUnknown
