--- a/internal/proc/demo/demo.go
+++ b/internal/proc/demo/demo.go
@@ -27,16 +27,18 @@
 	entryCount     = 3
 	targetCount    = 6
 	workerCount    = 6
-	slotsPerTarget = 4
-	requestTime    = 20 * time.Millisecond
-	callerCount    = 24
-	serviceName    = "registro"
-	leaseTTL       = 2 * time.Second
-	waitTimeout    = 30 * time.Second // how long the demo waits for anything
+	slotsPerTarget = 4                     // as in sheetText
+	requestTime    = 20 * time.Millisecond // how long a target runs a request
+	callerCount    = 24                    // concurrent callers
+	serviceName    = "registro"            // the service of all requests, declared in sheetText
+	leaseTTL       = 2 * time.Second       // of the store's and the workers' leases
+	waitTimeout    = 30 * time.Second      // longest wait for any condition
 )
 
+// zones are the failure domains, as declared in sheetText.
 var zones = []string{"heredia", "cartago", "escazu"}
 
+// sheetText is the configuration that the demo puts in force.
 const sheetText = `base = 0
 [[zone]]
 name = "heredia"
@@ -55,21 +57,22 @@
 zones = ["heredia", "cartago", "escazu"]
 `
 
-// Demo is one run; Run makes it.
+// Demo is one run of the demo in which the entry processes share the targets, racks and
+// buckets among them. It is created by Run.
 type Demo struct {
-	output      io.Writer
-	store       *fakestore.Store
-	storeClient store.Store
-	hostList    *fakehosts.List
-	targets     []*faketarget.Target
-	workers     []*fakeworker.Worker
-	nodes       []*node.Node
-	servers     []*http.Server
-	callers     callerLoad
-	violations  []string
+	output      io.Writer            // receives the progress and the report
+	store       *fakestore.Store     // stand-in for the platform's key-value service
+	storeClient store.Store          // used to change the configuration
+	hostList    *fakehosts.List      // stand-in for the platform's host list
+	targets     []*faketarget.Target // target i is in zones[i%3]
+	workers     []*fakeworker.Worker // worker i is in zones[i%3]
+	nodes       []*node.Node         // the entry processes
+	servers     []*http.Server       // HTTP servers of the stand-ins
+	callers     callerLoad           // sends the check-ins
+	violations  []string             // guarantees found violated
 }
 
-// Run runs the demo, shows its progress on out, and returns the promises that were broken.
+// Run runs the demo, prints its progress to out, and returns the guarantees that were violated.
 func Run(ctx context.Context, out io.Writer) ([]string, error) {
 	d := &Demo{output: out, store: &fakestore.Store{}, hostList: &fakehosts.List{}}
 	defer d.close()
@@ -83,11 +86,12 @@
 	return d.violations, nil
 }
 
+// printf prints a line to the output.
 func (d *Demo) printf(format string, args ...any) {
 	fmt.Fprintf(d.output, format+"\n", args...)
 }
 
-// serve serves h on a free loopback port and returns its address.
+// serve starts s on a free loopback port and returns its address.
 func (d *Demo) serve(s *http.Server) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,12 +102,13 @@
 	return l.Addr().String(), nil
 }
 
+// start starts the stand-ins, puts the configuration in force and starts the entry processes.
 func (d *Demo) start(ctx context.Context) error {
 	storeAddr, err := d.serve(&http.Server{Handler: d.store.Handler()})
 	if err != nil {
 		return err
 	}
-	hostsAddr, err := d.serve(&http.Server{Handler: d.hostList})
+	hostListAddr, err := d.serve(&http.Server{Handler: d.hostList})
 	if err != nil {
 		return err
 	}
@@ -115,7 +120,7 @@
 		return err
 	}
 	for i := range entryCount {
-		n, err := node.Start(d.entrySettings(i, storeAddr, hostsAddr), telem.NewLogger(io.Discard, "error"))
+		n, err := node.Start(d.entrySettings(i, storeAddr, hostListAddr), telem.NewLogger(io.Discard, "error"))
 		if err != nil {
 			return err
 		}
@@ -125,6 +130,7 @@
 	return nil
 }
 
+// startTargetsAndWorkers starts the targets and workers and adds them to the host list.
 func (d *Demo) startTargetsAndWorkers() error {
 	for i := range targetCount {
 		t := faketarget.New(slotsPerTarget, requestTime)
@@ -147,11 +153,12 @@
 	return nil
 }
 
-func (d *Demo) entrySettings(i int, storeAddr, hostsAddr string) conf.Settings {
+// entrySettings returns the settings of entry process i.
+func (d *Demo) entrySettings(i int, storeAddr, hostListAddr string) conf.Settings {
 	s := conf.Default()
 	s.Name, s.Zone = fmt.Sprintf("entry%d", i), zones[i%3]
 	s.Listen = conf.Listen{Caller: "127.0.0.1:0", Peer: "127.0.0.1:0", Admin: "127.0.0.1:0"}
-	s.Store.URL, s.Hosts.URL = "http://"+storeAddr, "http://"+hostsAddr
+	s.Store.URL, s.Hosts.URL = "http://"+storeAddr, "http://"+hostListAddr
 	s.Store.Timeout, s.Store.LeaseTTL, s.Store.WatchTimeout = 500*time.Millisecond, leaseTTL, 2*time.Second
 	s.Hosts.Interval = 200 * time.Millisecond
 	s.Worker.LeaseTTL, s.Worker.PollInterval, s.Worker.Buckets = leaseTTL, 50*time.Millisecond, 4
@@ -159,22 +166,23 @@
 	return s
 }
 
-// waitUntil waits waitUntil cond holds.
-func (d *Demo) waitUntil(ctx context.Context, what string, cond func() bool) error {
+// waitUntil polls cond until it holds, and returns an error with the description after waitTimeout.
+func (d *Demo) waitUntil(ctx context.Context, description string, cond func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	t := time.NewTicker(20 * time.Millisecond)
-	defer t.Stop()
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for !cond() {
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("demo: never came about: %s", what)
-		case <-t.C:
+			return errors.Errorf("demo: timed out waiting for: %s", description)
+		case <-ticker.C:
 		}
 	}
 	return nil
 }
 
+// close stops the callers, the entry processes and the stand-ins.
 func (d *Demo) close() {
 	d.callers.stop()
 	for _, n := range d.nodes {
--- a/internal/proc/demo/demo_test.go
+++ b/internal/proc/demo/demo_test.go
@@ -11,30 +11,32 @@
 	"go.uber.org/goleak"
 )
 
-// The demo goes through its faults, keeps every promise, and leaves nothing running.
+// TestRun checks that every guarantee holds under the faults of the demo, that each hop of a
+// check-in is traced, and that no goroutine is left.
 func TestRun(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreTopFunction("net/http.(*persistConn).readLoop"),
 		goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"))
 	spans := tracetest.NewSpanRecorder()
 	otel.SetTracerProvider(trace.NewTracerProvider(trace.WithSpanProcessor(spans)))
 	var out bytes.Buffer
-	broken, err := Run(context.Background(), &out)
-	if err != nil || len(broken) > 0 {
-		t.Errorf("%v, broken: %v\n%s", err, broken, out.String())
+	violations, err := Run(context.Background(), &out)
+	if err != nil || len(violations) > 0 {
+		t.Errorf("error %v, violations: %v\n%s", err, violations, out.String())
 	}
 	checkSpans(t, spans.Ended())
 }
 
-// The demo of hosts of which one holds goes through its faults and keeps every promise.
+// TestRunHosts checks that every guarantee holds under the faults of the demo of entry hosts
+// that elect a holder.
 func TestRunHosts(t *testing.T) {
 	var out bytes.Buffer
-	broken, err := RunHosts(context.Background(), &out)
-	if err != nil || len(broken) > 0 {
-		t.Errorf("%v, broken: %v\n%s", err, broken, out.String())
+	violations, err := RunHosts(context.Background(), &out)
+	if err != nil || len(violations) > 0 {
+		t.Errorf("error %v, violations: %v\n%s", err, violations, out.String())
 	}
 }
 
-// checkSpans holds that a check-in's hops are spans of one trace, each below the entry's.
+// checkSpans checks that each hop of a check-in is a child span of the entry's span.
 func checkSpans(t *testing.T, ended []trace.ReadOnlySpan) {
 	t.Helper()
 	roots := map[string]bool{}
@@ -51,7 +53,7 @@
 	}
 	for _, hop := range []string{"once.begin", "broker.wait", "relay.send"} {
 		if found[hop] == 0 {
-			t.Errorf("no span %s below entry.request: %v", hop, found)
+			t.Errorf("no child span %s of entry.request, only %v", hop, found)
 		}
 	}
 }
--- a/internal/proc/demo/doc.go
+++ b/internal/proc/demo/doc.go
@@ -1,3 +1,3 @@
-// Package demo runs the main job on embedded stand-ins in one process, brings about
-// faults, and checks the promises.
+// Package demo runs the system in one process against embedded stand-ins, injects
+// faults, and checks that the guarantees hold.
 package demo
--- a/internal/proc/demo/hosts.go
+++ b/internal/proc/demo/hosts.go
@@ -24,58 +24,62 @@
 	"bramleysail.example/bramleysail/internal/proc/front"
 )
 
-// Figures of the second demo.
+// Parameters of the demo that RunHosts runs.
 const (
-	jobsPerScene = 8                      // in each scene
-	tasksPerStep = 4                      // tasks of a step
-	hostTaskTime = 300 * time.Millisecond // of a task
-	outageTime   = 2 * time.Second        // for which the store is away
-	callTimeout  = 2 * time.Second        // a caller's deadline
+	jobsPerScene = 8 // jobs submitted in each scene that submits any
+	tasksPerStep = 4
+	hostTaskTime = 300 * time.Millisecond // how long a task runs
+	outageTime   = 2 * time.Second        // how long the store does not answer
+	callTimeout  = 2 * time.Second        // deadline of a caller's request
 )
 
-// hostDemo is a run of the second demo: entry hosts of which one holds, as on a platform whose
-// store keeps what must last.
+// hostDemo is one run of the demo of entry hosts that elect a holder, as on a platform whose
+// store keeps all durable state.
 type hostDemo struct {
-	output     io.Writer
-	store      *txkv.Service
-	fleet      *fleet.Fleet
-	hosts      []*entryHost
-	jobIDs     []string
-	violations []string
+	output     io.Writer     // receives the progress
+	store      *txkv.Service // stand-in for the platform's key-value service
+	fleet      *fleet.Fleet  // stand-in for the platform's workers
+	hosts      []*entryHost  // the entry hosts that have not been stopped
+	jobIDs     []string      // of the acknowledged jobs
+	violations []string      // guarantees found violated
 }
 
+// entryHost is an entry host. Its store client can be made to fail.
 type entryHost struct {
 	name      string
 	process   *front.Process
-	forwarder *front.Forwarder
+	forwarder *front.Forwarder // handles the requests of callers
 
-	mu        sync.Mutex
-	storeMode txkv.Mode
+	mu        sync.Mutex // guards storeMode
+	storeMode txkv.Mode  // how the store treats calls of this host
 }
 
+// setStoreMode sets how the store treats later calls of the host.
 func (h *entryHost) setStoreMode(m txkv.Mode) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.storeMode = m
 }
 
+// getStoreMode returns how the store treats calls of the host.
 func (h *entryHost) getStoreMode() txkv.Mode {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.storeMode
 }
 
-// RunHosts runs the demo of entry hosts of which one holds all jobs: jobs of two steps go on
-// while the store is away, while it turns the holder away, and while a host is stopped. It
-// shows its progress on out and returns the promises that were broken.
-func RunHosts(ctx context.Context, out io.Writer) (broken []string, err error) {
+// RunHosts runs the demo of entry hosts that elect a holder, which schedules all jobs. Jobs of
+// two steps must continue while the store is unreachable, after the holder has lost the store,
+// and while a host is stopped. RunHosts prints its progress to out and returns the guarantees
+// that were violated.
+func RunHosts(ctx context.Context, out io.Writer) (violations []string, err error) {
 	d := &hostDemo{output: out, store: &txkv.Service{}}
 	d.fleet = fleet.New(workerCount, wire.Size{CPU: 16000, Mem: 64000}, rand.New(rand.NewPCG(1, 1)), func(string) (time.Duration, sched.End) {
 		return hostTaskTime, sched.EndDone
 	})
 	defer func() {
-		if serr := d.stop(); err == nil {
-			err = serr
+		if stopErr := d.stop(); err == nil {
+			err = stopErr
 		}
 	}()
 	if err := d.start(); err != nil {
@@ -85,6 +89,7 @@
 	return d.violations, err
 }
 
+// start writes the configuration and the directory of workers, and starts the entry hosts.
 func (d *hostDemo) start() error {
 	queue := sched.Queue{Name: "books", Host: "demo", Prefix: "/books/", Service: "s", Tries: 3, Stretch: 2, Aim: time.Second}
 	if err := codec.WriteConfig(d.store, sched.Config{Version: 1, Queues: []sched.Queue{queue}}); err != nil {
@@ -95,17 +100,17 @@
 	}
 	for i := range entryCount {
 		h := &entryHost{name: fmt.Sprintf("host%d", i)}
-		set := conf.HostSettings{
+		settings := conf.HostSettings{
 			Name: h.name, Zone: zones[i], MetricsAddr: "127.0.0.1:0",
 			Listen: conf.HostListen{Caller: "127.0.0.1:0", Ready: "127.0.0.1:0", Peer: "127.0.0.1:0"},
 			Store:  conf.HostStore{MinLeaseMillis: 1000},
 			Bound:  conf.Bound{MaxWorkerLeaseMillis: 6000, MaxStopMillis: 200, GraceSeconds: 6, JobRetentionSeconds: 120},
 		}
 		var err error
-		h.process, err = front.Start(set, front.Adapters{
+		h.process, err = front.Start(settings, front.Adapters{
 			Store: d.store.Client(h.getStoreMode), WorkerClient: d.fleet.Client(func(sched.Member) bool { return false }), Codec: codec.New(),
-			CallerHandler: func(desk *front.Forwarder) http.Handler {
-				h.forwarder = desk
+			CallerHandler: func(forwarder *front.Forwarder) http.Handler {
+				h.forwarder = forwarder
 				return http.NotFoundHandler()
 			},
 			ReadinessHandler: func(func() bool) http.Handler { return http.NotFoundHandler() },
@@ -118,6 +123,7 @@
 	return nil
 }
 
+// stop stops the remaining hosts concurrently and returns the first error.
 func (d *hostDemo) stop() error {
 	var wg sync.WaitGroup
 	errs := make([]error, len(d.hosts))
@@ -133,6 +139,7 @@
 	return nil
 }
 
+// runScenes runs the scenes in order.
 func (d *hostDemo) runScenes(ctx context.Context) error {
 	scenes := []struct {
 		name string
@@ -153,58 +160,64 @@
 	return nil
 }
 
-// callUntilAccepted asks a host until it doesn't refuse.
-func (d *hostDemo) callUntilAccepted(ctx context.Context, h *entryHost, a drive.Request) (drive.Reply, error) {
+// callUntilAccepted repeats a request at a host until the host does not refuse it, for at most
+// waitTimeout.
+func (d *hostDemo) callUntilAccepted(ctx context.Context, h *entryHost, request drive.Request) (drive.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
-		once, end := context.WithTimeout(ctx, callTimeout)
-		rep := h.forwarder.Handle(once, a)
-		end()
-		if rep.Result != drive.ResultRefused {
-			return rep, nil
+		callCtx, cancelCall := context.WithTimeout(ctx, callTimeout)
+		reply := h.forwarder.Handle(callCtx, request)
+		cancelCall()
+		if reply.Result != drive.ResultRefused {
+			return reply, nil
 		}
 		if !wait.For(ctx, 50*time.Millisecond) {
-			return rep, errors.Errorf("demo: %s refuses on: %s", h.name, rep.Why)
+			return reply, errors.Errorf("demo: %s still refuses the request: %s", h.name, reply.Why)
 		}
 	}
 }
 
+// submitJobs submits jobsPerScene jobs of two steps, at each host in turn.
 func (d *hostDemo) submitJobs(ctx context.Context) error {
-	step := sched.Step{Count: tasksPerStep, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: hostTaskTime}
-	second := step
-	second.DependsOn = []int{0}
-	data, err := json.Marshal(sched.Job{Spec: "book", Steps: []sched.Step{step, second}})
+	firstStep := sched.Step{Count: tasksPerStep, Size: wire.Size{CPU: 1000, Mem: 1000}, Estimate: hostTaskTime}
+	secondStep := firstStep
+	secondStep.DependsOn = []int{0}
+	body, err := json.Marshal(sched.Job{Spec: "book", Steps: []sched.Step{firstStep, secondStep}})
 	if err != nil {
 		return errors.Wrap(err, "demo")
 	}
 	for i := range jobsPerScene {
 		id := fmt.Sprintf("book%d", len(d.jobIDs))
-		rep, err := d.callUntilAccepted(ctx, d.hosts[i%len(d.hosts)], drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/" + id, Job: data})
+		reply, err := d.callUntilAccepted(ctx, d.hosts[i%len(d.hosts)], drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/" + id, Job: body})
 		if err != nil {
 			return err
 		}
-		if rep.Result != drive.ResultDone {
-			return errors.Errorf("demo: hand-in of %s: %s %s", id, rep.Result, rep.Why)
+		if reply.Result != drive.ResultDone {
+			return errors.Errorf("demo: submission of job %s: %s %s", id, reply.Result, reply.Why)
 		}
 		d.jobIDs = append(d.jobIDs, id)
 	}
 	return nil
 }
 
+// storeOutage makes the store refuse all calls for outageTime. A job submitted then must not be
+// acknowledged.
 func (d *hostDemo) storeOutage(ctx context.Context) error {
 	d.store.SetMode(txkv.ModeBusy)
 	wait.For(ctx, outageTime)
-	once, end := context.WithTimeout(ctx, callTimeout)
-	defer end()
-	rep := d.hosts[0].forwarder.Handle(once, drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/refused", Job: []byte(`{"steps":[{"count":1}]}`)})
-	if rep.Result == drive.ResultDone {
+	callCtx, cancelCall := context.WithTimeout(ctx, callTimeout)
+	defer cancelCall()
+	reply := d.hosts[0].forwarder.Handle(callCtx, drive.Request{Verb: drive.VerbSubmit, Host: "demo", Path: "/books/refused", Job: []byte(`{"steps":[{"count":1}]}`)})
+	if reply.Result == drive.ResultDone {
 		d.violations = append(d.violations, "a hand-in was acknowledged with the store away")
 	}
 	d.store.SetMode("")
 	return d.submitJobs(ctx)
 }
 
+// replaceHolder makes the store silent for each host in turn and removes the holder's key, so
+// that the holder loses its term and another host takes over.
 func (d *hostDemo) replaceHolder(ctx context.Context) error {
 	for _, h := range d.hosts {
 		h.setStoreMode(txkv.ModeSilent)
@@ -215,23 +228,26 @@
 	return d.submitJobs(ctx)
 }
 
+// stopHost stops the last host in an orderly way.
 func (d *hostDemo) stopHost(context.Context) error {
 	last := len(d.hosts) - 1
-	h := d.hosts[last]
+	stopping := d.hosts[last]
 	d.hosts = d.hosts[:last]
-	return h.process.Stop(context.Background())
+	return stopping.process.Stop(context.Background())
 }
 
+// checkResults waits until all acknowledged jobs are completed and checks that each task was
+// started once.
 func (d *hostDemo) checkResults(ctx context.Context) error {
 	for i, id := range d.jobIDs {
 		if err := d.awaitJob(ctx, d.hosts[i%len(d.hosts)], id); err != nil {
 			return err
 		}
 	}
-	// A task is begun anew where a lease lapsed, as on a machine that stood still for seconds.
-	lapsed := d.fleet.ExpiredRuns() > 0
+	// A task may be started again if a lease has expired, as happens when the machine pauses for seconds.
+	leaseExpired := d.fleet.ExpiredRuns() > 0
 	for task, n := range d.fleet.Starts() {
-		if n != 1 && !lapsed {
+		if n != 1 && !leaseExpired {
 			d.violations = append(d.violations, fmt.Sprintf("%s was started %d times", task, n))
 		}
 	}
@@ -240,22 +256,22 @@
 	return nil
 }
 
-// awaitJob waits until a job is completed.
+// awaitJob waits until a job is completed. An acknowledged job that is unknown is a violation.
 func (d *hostDemo) awaitJob(ctx context.Context, h *entryHost, id string) error {
-	end := time.Now().Add(waitTimeout)
-	for time.Now().Before(end) {
-		rep, err := d.callUntilAccepted(ctx, h, drive.Request{Verb: drive.VerbState, Host: "demo", Path: "/books/" + id})
+	deadline := time.Now().Add(waitTimeout)
+	for time.Now().Before(deadline) {
+		reply, err := d.callUntilAccepted(ctx, h, drive.Request{Verb: drive.VerbState, Host: "demo", Path: "/books/" + id})
 		if err != nil {
 			return err
 		}
 		switch {
-		case rep.Result == drive.ResultNoJob:
+		case reply.Result == drive.ResultNoJob:
 			d.violations = append(d.violations, id+" was acknowledged and isn't known")
 			return nil
-		case rep.State == sched.StateCompleted:
+		case reply.State == sched.StateCompleted:
 			return nil
 		}
 		wait.For(ctx, 50*time.Millisecond)
 	}
-	return errors.Errorf("demo: %s is never completed", id)
+	return errors.Errorf("demo: job %s was not completed in time", id)
 }
--- a/internal/proc/demo/scenes.go
+++ b/internal/proc/demo/scenes.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	bookTasks        = 60
-	auditTasks       = 12
-	bookTaskTime     = 400 * time.Millisecond
-	auditTaskTime    = 3 * time.Second
-	longRunningJobID = "watch"
+	bookTasks        = 60                     // tasks of the photo books' job
+	auditTasks       = 12                     // tasks of the audits' job
+	bookTaskTime     = 400 * time.Millisecond // how long a photo book's task runs
+	auditTaskTime    = 3 * time.Second        // how long an audit's task runs
+	longRunningJobID = "watch"                // job of a single long-running task
 )
 
-// runScenes goes through the scenes: load and batch work side by side, a failure domain out
-// and back, an entry process lost, the store away.
+// runScenes runs the scenes in order: requests and batch work at the same time, a failure
+// domain evacuated and restored, an entry process crashed, the store unreachable.
 func (d *Demo) runScenes(ctx context.Context) error {
 	scenes := []struct {
 		name string
@@ -50,8 +50,9 @@
 	return nil
 }
 
+// awaitReady waits until every entry process is ready.
 func (d *Demo) awaitReady(ctx context.Context) error {
-	return d.waitUntil(ctx, "every process ready", func() bool {
+	return d.waitUntil(ctx, "every entry process ready", func() bool {
 		for _, n := range d.nodes {
 			if !n.Ready() {
 				return false
@@ -61,6 +62,7 @@
 	})
 }
 
+// startWork starts the callers, submits the jobs and waits for the first answers.
 func (d *Demo) startWork(ctx context.Context) error {
 	for _, n := range d.nodes {
 		d.callers.callerAddrs = append(d.callers.callerAddrs, n.CallerAddr())
@@ -78,6 +80,7 @@
 	return d.awaitAnswers(ctx, 200)
 }
 
+// submitJob submits a job through the administration API of the first entry process.
 func (d *Demo) submitJob(ctx context.Context, s jobs.Spec) error {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -93,17 +96,18 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("demo: job %s: %s", s.ID, resp.Status)
+		return errors.Errorf("demo: submission of job %s answered with %s", s.ID, resp.Status)
 	}
 	return nil
 }
 
-// awaitAnswers waits for n awaitAnswers answers.
+// awaitAnswers waits until n more requests are answered.
 func (d *Demo) awaitAnswers(ctx context.Context, n int) error {
-	from := d.callers.answeredCount()
-	return d.waitUntil(ctx, "more answers", func() bool { return d.callers.answeredCount() >= from+n })
+	before := d.callers.answeredCount()
+	return d.waitUntil(ctx, "more requests answered", func() bool { return d.callers.answeredCount() >= before+n })
 }
 
+// runningTasks returns the number of tasks now running on the workers of zones[zone].
 func (d *Demo) runningTasks(zone int) int {
 	n := 0
 	for i, w := range d.workers {
@@ -114,11 +118,12 @@
 	return n
 }
 
+// evacuateZone evacuates zones[1] and checks that no task starts there while it is out.
 func (d *Demo) evacuateZone(ctx context.Context) error {
 	if _, err := sheet.SetZoneEvacuated(ctx, d.storeClient, zones[1], true); err != nil {
 		return err
 	}
-	if err := d.waitUntil(ctx, "no task left there", func() bool { return d.runningTasks(1) == 0 }); err != nil {
+	if err := d.waitUntil(ctx, "no task running in the evacuated zone", func() bool { return d.runningTasks(1) == 0 }); err != nil {
 		return err
 	}
 	if err := d.awaitAnswers(ctx, 100); err != nil {
@@ -130,6 +135,7 @@
 	return nil
 }
 
+// restoreZone ends the evacuation of zones[1].
 func (d *Demo) restoreZone(ctx context.Context) error {
 	if _, err := sheet.SetZoneEvacuated(ctx, d.storeClient, zones[1], false); err != nil {
 		return err
@@ -137,34 +143,38 @@
 	return d.awaitAnswers(ctx, 100)
 }
 
+// abortEntry crashes the third entry process and waits until the others own all targets.
 func (d *Demo) abortEntry(ctx context.Context) error {
 	d.callers.removeAddr(d.nodes[2].CallerAddr())
 	d.nodes[2].Abort()
-	err := d.waitUntil(ctx, "its targets taken over", func() bool { return d.ownedTargets(d.nodes[0])+d.ownedTargets(d.nodes[1]) == targetCount })
+	err := d.waitUntil(ctx, "targets of the crashed entry process taken over", func() bool { return d.ownedTargets(d.nodes[0])+d.ownedTargets(d.nodes[1]) == targetCount })
 	if err != nil {
 		return err
 	}
 	return d.awaitAnswers(ctx, 200)
 }
 
+// ownedTargets returns the number of targets that n owns, or 0 if it does not answer.
 func (d *Demo) ownedTargets(n *node.Node) int {
 	resp, err := http.Get("http://" + n.AdminAddr() + "/v1/status")
 	if err != nil {
 		return 0
 	}
 	defer resp.Body.Close()
-	var s node.Status
-	_ = json.NewDecoder(resp.Body).Decode(&s)
-	return len(s.Services[serviceName].Targets)
+	var status node.Status
+	_ = json.NewDecoder(resp.Body).Decode(&status)
+	return len(status.Services[serviceName].Targets)
 }
 
+// storeOutage makes the store unreachable for longer than every lease. Requests must be
+// answered during the outage and after it.
 func (d *Demo) storeOutage(ctx context.Context) error {
 	d.store.SetDown(true)
-	t := time.NewTimer(2 * leaseTTL)
-	defer t.Stop()
+	timer := time.NewTimer(2 * leaseTTL)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 	if err := d.awaitAnswers(ctx, 100); err != nil {
 		return err
@@ -173,57 +183,61 @@
 	return d.awaitAnswers(ctx, 100)
 }
 
+// awaitResults waits until every task has an accepted result, then stops the callers.
 func (d *Demo) awaitResults(ctx context.Context) error {
-	err := d.waitUntil(ctx, "every result out", func() bool { return len(d.acceptedResults()) == bookTasks+auditTasks })
+	err := d.waitUntil(ctx, "every result accepted", func() bool { return len(d.acceptedResults()) == bookTasks+auditTasks })
 	d.callers.stop()
 	return err
 }
 
-// acceptedResults counts the results that went out, by task.
+// acceptedResults returns the number of accepted results by task. The workers
+// count them by placement, whose form is job/index@number.
 func (d *Demo) acceptedResults() map[string]int {
-	sum := map[string]int{}
+	results := map[string]int{}
 	for _, w := range d.workers {
 		for id, n := range w.AcceptedResults() {
 			task, _, _ := strings.Cut(id, "@")
-			sum[task] += n
+			results[task] += n
 		}
 	}
-	return sum
+	return results
 }
 
-// printReport checks the promises and prints the table.
+// printReport checks the guarantees and prints the figures and the violations.
 func (d *Demo) printReport() {
 	d.checkRequests()
-	twice := 0
-	accepts := d.acceptedResults()
-	for _, n := range accepts {
+	repeated := 0
+	results := d.acceptedResults()
+	for _, n := range results {
 		if n > 1 {
-			twice++
+			repeated++
 		}
 	}
-	d.checkGuarantee("each task's result goes out once", twice == 0 && len(accepts) == bookTasks+auditTasks)
+	d.checkGuarantee("each task's result goes out once", repeated == 0 && len(results) == bookTasks+auditTasks)
 	reads, writes := d.store.Calls()
 	p50, p99 := d.callers.latencyQuantiles()
-	w := tabwriter.NewWriter(d.output, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "\nrequests answered\t%d\nrequests refused, not run\t%d\nrequests with unknown outcome\t%d\n",
+	table := tabwriter.NewWriter(d.output, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(table, "\nrequests answered\t%d\nrequests refused, not run\t%d\nrequests with unknown outcome\t%d\n",
 		d.callers.answeredCount(), d.callers.refusedCount(), d.callers.unknownCount())
-	fmt.Fprintf(w, "p50 and p99 of answers\t%s, %s (one request takes %s)\n", p50, p99, requestTime)
-	fmt.Fprintf(w, "tasks finished once\t%d of %d\nstore calls\t%d reads, %d writes\n", len(accepts)-twice, bookTasks+auditTasks, reads, writes)
-	_ = w.Flush()
+	fmt.Fprintf(table, "p50 and p99 of answers\t%s, %s (one request takes %s)\n", p50, p99, requestTime)
+	fmt.Fprintf(table, "tasks finished once\t%d of %d\nstore calls\t%d reads, %d writes\n", len(results)-repeated, bookTasks+auditTasks, reads, writes)
+	_ = table.Flush()
 	if len(d.violations) == 0 {
 		d.printf("every promise was kept")
 	}
-	for _, b := range d.violations {
-		d.printf("BROKEN: %s", b)
+	for _, violation := range d.violations {
+		d.printf("BROKEN: %s", violation)
 	}
 }
 
-func (d *Demo) checkGuarantee(text string, kept bool) {
+// checkGuarantee records a violation unless the guarantee was kept.
+func (d *Demo) checkGuarantee(guarantee string, kept bool) {
 	if !kept {
-		d.violations = append(d.violations, text)
+		d.violations = append(d.violations, guarantee)
 	}
 }
 
+// checkRequests compares the callers' answers with what the targets ran.
 func (d *Demo) checkRequests() {
 	runs := func(key string) int {
 		n := 0
@@ -232,20 +246,20 @@
 		}
 		return n
 	}
-	once, own, honest := true, true, true
+	ranOnce, ownAnswer, refusedNotRun := true, true, true
 	d.callers.forEachAnswer(func(key string, a answer) {
 		n := runs(key)
-		once = once && n <= 1
-		own = own && (a.status != http.StatusOK || a.body == "POST /checkin "+key && n == 1)
-		honest = honest && (a.outcome != "not-run" || n == 0)
+		ranOnce = ranOnce && n <= 1
+		ownAnswer = ownAnswer && (a.status != http.StatusOK || a.body == "POST /checkin "+key && n == 1)
+		refusedNotRun = refusedNotRun && (a.outcome != "not-run" || n == 0)
 	})
-	over := 0
+	slotViolations := 0
 	for _, t := range d.targets {
 		_, _, n := t.PeakLoad()
-		over += n
+		slotViolations += n
 	}
-	d.checkGuarantee("no check-in runs twice", once)
-	d.checkGuarantee("every caller gets the whole answer to its own request", own)
-	d.checkGuarantee("what is called not run has not run", honest)
-	d.checkGuarantee("no target gets more than its slots", over == 0)
+	d.checkGuarantee("no check-in runs twice", ranOnce)
+	d.checkGuarantee("every caller gets the whole answer to its own request", ownAnswer)
+	d.checkGuarantee("what is called not run has not run", refusedNotRun)
+	d.checkGuarantee("no target gets more than its slots", slotViolations == 0)
 }
