--- a/internal/proc/whole/admin_test.go
+++ b/internal/proc/whole/admin_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Calls of the administration API that are wrong or not allowed must get a stable code
-// and change nothing, and the token must appear in no answer and no log.
+// Calls of the administration API that are invalid or unauthorized must get a stable error code and
+// change nothing. The token must appear in no answer and in no log.
 func TestAdminErrors(t *testing.T) {
 	s := newSystem(t)
 	s.adminToken = "sesame-7"
@@ -52,19 +52,19 @@
 			t.Errorf("%s %s: %d %.200s", tc.method, tc.path, status, body)
 		}
 		if strings.Contains(body, s.adminToken) {
-			t.Errorf("%s %s tells the token", tc.method, tc.path)
+			t.Errorf("%s %s reveals the token", tc.method, tc.path)
 		}
 	}
 	if strings.Contains(e.outputText(), s.adminToken) {
-		t.Error("the log tells the token")
+		t.Error("the log reveals the token")
 	}
 	if status, _ := call("GET", "/healthz", "", ""); status != http.StatusOK {
-		t.Errorf("health asks for a token: %d", status)
+		t.Errorf("health check without a token answered with %d", status)
 	}
 }
 
-// Callers send requests that are wrong, too large, or never end. Each must get a clear
-// answer that says it has not run, and nothing may reach a target.
+// Callers send requests that are invalid or too large. Each must get an answer with a stable error
+// code that says that the request has not run, and none may reach a target.
 func TestBadRequests(t *testing.T) {
 	s := newRequestSystem(t, 1, 1, 2, 0)
 	addr := s.entries[0].callerAddr
@@ -75,12 +75,12 @@
 	}{
 		{"unknown service", "/nothing/x", "", "", "", 404, "unknown-service"},
 		{"no service", "/", "", "", "", 404, "unknown-service"},
-		{"timeout", "/registro/x", "Sail-Timeout", "soon", "", 400, "bad-request"},
+		{"invalid timeout", "/registro/x", "Sail-Timeout", "soon", "", 400, "bad-request"},
 		{"negative timeout", "/registro/x", "Sail-Timeout", "-1s", "", 400, "bad-request"},
-		{"mark", "/registro/x", "Sail-Idempotent", "perhaps", "", 400, "bad-request"},
+		{"invalid idempotency mark", "/registro/x", "Sail-Idempotent", "perhaps", "", 400, "bad-request"},
 		{"key too long", "/registro/x", "Idempotency-Key", strings.Repeat("k", 200), "", 400, "bad-request"},
 		{"key with spaces", "/registro/x", "Idempotency-Key", "a b", "", 400, "bad-request"},
-		{"too large", "/registro/x", "", "", strings.Repeat("x", 2<<20), 413, "too-large"},
+		{"body too large", "/registro/x", "", "", strings.Repeat("x", 2<<20), 413, "too-large"},
 	} {
 		req, err := http.NewRequest(http.MethodPost, "http://"+addr+tc.path, strings.NewReader(tc.body))
 		if err != nil {
@@ -94,7 +94,7 @@
 			t.Errorf("%s: %+v", tc.name, a)
 		}
 	}
-	if st := s.targetCounts(); st.Total != 0 {
-		t.Errorf("something reached the target: %+v", st)
+	if stats := s.targetCounts(); stats.Total != 0 {
+		t.Errorf("a request reached the target: %+v", stats)
 	}
 }
--- a/internal/proc/whole/batch_test.go
+++ b/internal/proc/whole/batch_test.go
@@ -12,6 +12,7 @@
 	"bramleysail.example/bramleysail/internal/batch/jobs"
 )
 
+// newBatchSystem returns a system of workers and entry processes.
 func newBatchSystem(t *testing.T, entries, workers, racks int) *system {
 	t.Helper()
 	s := newSystem(t)
@@ -23,29 +24,31 @@
 	return s
 }
 
+// submitJob submits a job of n tasks, each with the given run time, through the command line.
 func (s *system) submitJob(id string, n int, run time.Duration) {
 	s.t.Helper()
 	s.runCommand(0, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "--n", fmt.Sprint(n), "--cpu", "1000", "--run", run.String(), id)
 }
 
-// awaitDoneOnce waits until the job is done and every result has gone out, once.
+// awaitDoneOnce waits until the job is done and a result of each of its n tasks is accepted. It checks
+// that each was accepted once and that no placement was started twice.
 func (s *system) awaitDoneOnce(e *entryProcess, id string, n int) {
 	s.t.Helper()
 	eventually(s.t, "job "+id+" done", func() bool { return s.getJob(e, id).State == jobs.StateDone })
-	out := func() map[string]int {
-		_, accepts := s.workerCounts()
-		mine := map[string]int{}
-		for task, k := range accepts {
+	jobResults := func() map[string]int {
+		_, accepted := s.workerCounts()
+		results := map[string]int{}
+		for task, k := range accepted {
 			if strings.HasPrefix(task, id+"/") {
-				mine[task] = k
+				results[task] = k
 			}
 		}
-		return mine
+		return results
 	}
-	eventually(s.t, "every result out", func() bool { return len(out()) == n })
-	for task, k := range out() {
+	eventually(s.t, "every result accepted", func() bool { return len(jobResults()) == n })
+	for task, k := range jobResults() {
 		if k != 1 {
-			s.t.Errorf("the result of %s went out %d times", task, k)
+			s.t.Errorf("the result of %s was accepted %d times", task, k)
 		}
 	}
 	starts, _ := s.workerCounts()
@@ -56,21 +59,21 @@
 	}
 }
 
-// The entry process that holds racks and buckets is killed, and another stands still for
-// longer than its lease and wakes up, while photo books are made. Each must go out once.
+// While a job runs, an entry process that owns racks and buckets is killed, and another is paused
+// for longer than its lease and resumed. Each result must be accepted once.
 func TestBatchEntryFailures(t *testing.T) {
 	s := newBatchSystem(t, 4, 6, 3)
 	s.submitJob("books", 150, 300*time.Millisecond)
-	eventually(t, "some done", func() bool { return s.getJob(s.entries[0], "books").FinishedTasks > 20 })
+	eventually(t, "more than 20 tasks finished", func() bool { return s.getJob(s.entries[0], "books").FinishedTasks > 20 })
 	_ = s.entries[1].cmd.Process.Kill()
 	_ = s.entries[2].cmd.Process.Signal(syscall.SIGSTOP)
-	eventually(t, "two members left", func() bool { return len(s.entries[0].status().Members) == 2 })
+	eventually(t, "two members remaining", func() bool { return len(s.entries[0].status().Members) == 2 })
 	_ = s.entries[2].cmd.Process.Signal(syscall.SIGCONT)
 	s.awaitDoneOnce(s.entries[0], "books", 150)
 }
 
-// An operator takes a failure domain out. Nothing may start there, what runs there goes
-// on elsewhere, and once it is back it is used again.
+// An operator evacuates a failure domain. No task may start there, the tasks that run there must be
+// moved to other workers, and after the evacuation the domain must be used again.
 func TestDomainOut(t *testing.T) {
 	s := newBatchSystem(t, 3, 6, 3)
 	s.submitJob("audits", 24, 4*time.Second)
@@ -78,10 +81,10 @@
 		n := 0
 		for i, addr := range s.workerAddrs {
 			if i%3 == zone {
-				var rep struct{ Tasks []struct{ State string } }
-				s.sendJSON(http.MethodGet, "http://"+addr+"/v1/report", nil, &rep)
-				for _, k := range rep.Tasks {
-					if k.State == "running" {
+				var report struct{ Tasks []struct{ State string } }
+				s.sendJSON(http.MethodGet, "http://"+addr+"/v1/report", nil, &report)
+				for _, task := range report.Tasks {
+					if task.State == "running" {
 						n++
 					}
 				}
@@ -89,49 +92,49 @@
 		}
 		return n
 	}
-	eventually(t, "tasks in every domain", func() bool { return running(0) > 0 && running(1) > 0 && running(2) > 0 })
+	eventually(t, "tasks running in every failure domain", func() bool { return running(0) > 0 && running(1) > 0 && running(2) > 0 })
 	s.runCommand(0, "domain", "out", "--admin", s.entries[2].adminAddr, zones[1])
-	eventually(t, "none left there", func() bool { return running(1) == 0 })
-	there := s.startsOnRack(1)
+	eventually(t, "no task running in the evacuated failure domain", func() bool { return running(1) == 0 })
+	startsBefore := s.startsOnRack(1)
 	s.submitJob("more", 12, 300*time.Millisecond)
 	s.awaitDoneOnce(s.entries[1], "more", 12)
 	s.awaitDoneOnce(s.entries[1], "audits", 24)
-	if n := s.startsOnRack(1); n != there {
-		t.Errorf("%d tasks were started in a domain that is out", n-there)
+	if n := s.startsOnRack(1); n != startsBefore {
+		t.Errorf("%d tasks were started in the evacuated failure domain", n-startsBefore)
 	}
 	s.runCommand(0, "domain", "back", "--admin", s.entries[0].adminAddr, zones[1])
 	s.submitJob("again", 60, 300*time.Millisecond)
 	s.awaitDoneOnce(s.entries[2], "again", 60)
-	if s.startsOnRack(1) == there {
-		t.Error("nothing was started in the domain after it was back")
+	if s.startsOnRack(1) == startsBefore {
+		t.Error("no task was started in the failure domain after the evacuation")
 	}
 }
 
-// The store goes away while audits run, for longer than every lease, and comes back.
-// What runs must run on; what finishes meanwhile is recorded later, once; nothing that
-// is submitted meanwhile is called accepted.
+// The store is unreachable for longer than every lease while a job runs. The tasks must continue,
+// those that finish during the outage must be recorded once after it, and a job submitted during
+// the outage must not be reported as accepted.
 func TestBatchStoreOutage(t *testing.T) {
 	s := newBatchSystem(t, 3, 6, 3)
 	s.submitJob("audits", 12, 5*time.Second)
-	eventually(t, "all started", func() bool { starts, _ := s.workerCounts(); return len(starts) == 12 })
+	eventually(t, "all tasks started", func() bool { starts, _ := s.workerCounts(); return len(starts) == 12 })
 	s.setStoreDown(true)
 	s.runCommand(4, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "late")
 	finished := func() int {
 		n := 0
 		for _, addr := range s.workerAddrs {
-			var rep struct{ Tasks []struct{ State string } }
-			s.sendJSON(http.MethodGet, "http://"+addr+"/v1/report", nil, &rep)
-			for _, k := range rep.Tasks {
-				if k.State == "finished" {
+			var report struct{ Tasks []struct{ State string } }
+			s.sendJSON(http.MethodGet, "http://"+addr+"/v1/report", nil, &report)
+			for _, task := range report.Tasks {
+				if task.State == "finished" {
 					n++
 				}
 			}
 		}
 		return n
 	}
-	eventually(t, "all finished and held", func() bool { return finished() == 12 })
-	if _, accepts := s.workerCounts(); len(accepts) > 0 {
-		t.Errorf("results went out before they were recorded: %v", accepts)
+	eventually(t, "all tasks finished, their results not yet accepted", func() bool { return finished() == 12 })
+	if _, accepted := s.workerCounts(); len(accepted) > 0 {
+		t.Errorf("results were accepted before they were recorded: %v", accepted)
 	}
 	s.setStoreDown(false)
 	s.awaitDoneOnce(s.entries[1], "audits", 12)
@@ -142,14 +145,15 @@
 	s.awaitDoneOnce(s.entries[1], "late", 1)
 }
 
-// Two operators change the configuration at the same time, and a sheet drawn up before
-// one of the changes comes after it. One wins, the others are told so; nothing reverts.
+// Operators change the configuration concurrently, and a sheet that is based on an older
+// configuration is put after a change. Of conflicting changes one must win and the others must be
+// answered with a conflict. No change may be reverted.
 func TestConcurrentOperators(t *testing.T) {
 	s := newBatchSystem(t, 3, 3, 3)
 	s.runCommand(0, "domain", "out", "--admin", s.entries[0].adminAddr, zones[0])
 	out := s.runCommand(3, "sheet", "put", "--admin", s.entries[1].adminAddr, "../../../examples/association.sheet.toml")
 	if !strings.Contains(out, "drawn from configuration 0, in force is 2 (out: heredia)") {
-		t.Errorf("the refusal doesn't say what has changed: %s", out)
+		t.Errorf("the refusal does not say what has changed: %s", out)
 	}
 	type result struct{ code, num int }
 	results := make(chan result, 6)
@@ -162,22 +166,22 @@
 				return
 			}
 			defer resp.Body.Close()
-			var v struct{ Num int }
-			_ = json.NewDecoder(resp.Body).Decode(&v)
-			results <- result{resp.StatusCode, v.Num}
+			var config struct{ Num int }
+			_ = json.NewDecoder(resp.Body).Decode(&config)
+			results <- result{resp.StatusCode, config.Num}
 		}()
 	}
-	high := 0
+	highest := 0
 	for range 6 {
 		r := <-results
 		if r.code != http.StatusOK && r.code != http.StatusConflict {
-			t.Errorf("a racing operator got %d", r.code)
+			t.Errorf("a concurrent change was answered with %d", r.code)
 		}
-		high = max(high, r.num)
+		highest = max(highest, r.num)
 	}
-	eventually(t, "one configuration everywhere", func() bool {
+	eventually(t, "the same configuration in every entry process", func() bool {
 		for _, e := range s.entries {
-			if int(e.status().ConfigVersion) != high || len(e.status().EvacuatedZones) < 2 {
+			if int(e.status().ConfigVersion) != highest || len(e.status().EvacuatedZones) < 2 {
 				return false
 			}
 		}
@@ -185,26 +189,26 @@
 	})
 }
 
-// An operator stops, with SIGTERM, a process that holds racks and buckets. Others must
-// take them over while everything runs on: no task is evicted or started again.
+// An operator stops an entry process that owns racks and buckets with SIGTERM. Others must take
+// them over while the tasks continue: no task may be evicted or started again.
 func TestBatchGracefulStop(t *testing.T) {
 	s := newBatchSystem(t, 3, 6, 3)
 	s.submitJob("audits", 12, 4*time.Second)
-	eventually(t, "all started", func() bool { starts, _ := s.workerCounts(); return len(starts) == 12 })
-	p := s.entries[1]
-	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	<-p.exited
+	eventually(t, "all tasks started", func() bool { starts, _ := s.workerCounts(); return len(starts) == 12 })
+	stopping := s.entries[1]
+	_ = stopping.cmd.Process.Signal(syscall.SIGTERM)
+	<-stopping.exited
 	s.awaitDoneOnce(s.entries[0], "audits", 12)
 	if starts, _ := s.workerCounts(); len(starts) != 12 {
 		t.Errorf("%d starts for 12 tasks", len(starts))
 	}
-	if p.exitErr != nil {
-		t.Errorf("it ended with %v", p.exitErr)
+	if stopping.exitErr != nil {
+		t.Errorf("the stopped process exited with %v", stopping.exitErr)
 	}
 }
 
-// The store answers slowly for a long while. Requests and batch work must go on as
-// before, if slower to begin.
+// The store takes 250 ms for each call. Requests must be answered and jobs must finish, although
+// they may start later.
 func TestStoreSlow(t *testing.T) {
 	s := newSystem(t)
 	s.addTargets(3, 3, 2*time.Millisecond)
@@ -228,46 +232,46 @@
 	}
 }
 
-// The store takes many writes without answering them, while jobs are submitted and run
-// and an operator takes a domain out. Each write must be found to have taken effect:
-// nothing is done twice and nobody is told of a conflict that there wasn't.
+// The store carries out many writes without answering them, while jobs run and an operator
+// evacuates a failure domain. The entry processes must find out that each write took effect: no
+// task may run twice, and no caller may get a conflict where there was none.
 func TestStoreLosesAnswers(t *testing.T) {
 	s := newBatchSystem(t, 3, 6, 3)
-	lose := func(n int) {
+	loseAnswers := func(n int) {
 		s.sendJSON(http.MethodPost, "http://"+s.storeAddr+"/fault", struct{ Lose int }{n}, nil)
 	}
-	lose(3)
+	loseAnswers(3)
 	s.runCommand(0, "domain", "out", "--admin", s.entries[1].adminAddr, zones[2])
 	for i := range 4 {
-		lose(8)
+		loseAnswers(8)
 		id := fmt.Sprint("audit-", i)
 		s.submitJob(id, 10, 200*time.Millisecond)
 		s.awaitDoneOnce(s.entries[2], id, 10)
 	}
 	if c := s.entries[0].status().ConfigVersion; c != 2 {
-		t.Errorf("configuration %d after one sheet and one move", c)
+		t.Errorf("configuration %d after one sheet and one evacuation", c)
 	}
 }
 
-// A worker's host dies with audits on it, as some do every day. They must be run on
-// other workers, and the job finish.
+// A worker fails with tasks on it, as some do every day. The tasks must run on other workers, and
+// the job must finish.
 func TestWorkerFailure(t *testing.T) {
 	s := newBatchSystem(t, 3, 6, 3)
 	s.submitJob("audits", 18, 2*time.Second)
-	eventually(t, "most started", func() bool { starts, _ := s.workerCounts(); return len(starts) > 12 })
-	dead := s.workerAddrs[0]
+	eventually(t, "more than 12 tasks started", func() bool { starts, _ := s.workerCounts(); return len(starts) > 12 })
+	failedAddr := s.workerAddrs[0]
 	for _, p := range s.processes {
-		if strings.Contains(p.outputText(), dead) && strings.Contains(p.cmd.String(), "standin worker") {
+		if strings.Contains(p.outputText(), failedAddr) && strings.Contains(p.cmd.String(), "standin worker") {
 			_ = p.cmd.Process.Kill()
 			<-p.exited
 		}
 	}
 	s.workerAddrs = s.workerAddrs[1:]
 	eventually(t, "the job done", func() bool { return s.getJob(s.entries[1], "audits").State == jobs.StateDone })
-	_, accepts := s.workerCounts()
-	for task, n := range accepts {
+	_, accepted := s.workerCounts()
+	for task, n := range accepted {
 		if n != 1 {
-			t.Errorf("the result of %s went out %d times", task, n)
+			t.Errorf("the result of %s was accepted %d times", task, n)
 		}
 	}
 }
--- a/internal/proc/whole/bench_test.go
+++ b/internal/proc/whole/bench_test.go
@@ -21,14 +21,14 @@
 
 const (
 	benchTargets     = 50
-	benchSlots       = 8
-	benchRequestTime = 200 * time.Millisecond
-	benchDuration    = 12 * time.Second
+	benchSlots       = 8                      // of each target
+	benchRequestTime = 200 * time.Millisecond // how long a target runs a request
+	benchDuration    = 12 * time.Second       // length of a measurement
 )
 
-// BenchmarkPath measures answer times of real processes, 9 entry processes before 50
-// targets of 8 slots, against a caller that holds one ideal queue before all slots and
-// goes straight to the targets. The ratios are of the same run.
+// BenchmarkPath measures the latency of requests through 9 entry processes to 50 targets of 8
+// slots. It compares it with the ideal, a caller with a single queue for all slots that sends
+// directly to the targets. Both sides of a ratio are measured in the same run.
 func BenchmarkPath(b *testing.B) {
 	for _, tc := range []struct {
 		name string
@@ -46,34 +46,34 @@
 			for range b.N {
 				s := benchSystem(b)
 				rate := tc.load * benchTargets * benchSlots / benchRequestTime.Seconds()
-				// A quarter into each run one target in ten becomes slow.
-				slow := func(work time.Duration) {
+				// One target in ten becomes five times slower after a quarter of each measurement.
+				slowDown := func(requestTime time.Duration) {
 					if tc.slow {
 						for i := 0; i < benchTargets; i += 10 {
-							s.setTargetFault(s.targetAddrs[i], "", work)
+							s.setTargetFault(s.targetAddrs[i], "", requestTime)
 						}
 					}
 				}
-				time.AfterFunc(benchDuration/4, func() { slow(5 * benchRequestTime) })
+				time.AfterFunc(benchDuration/4, func() { slowDown(5 * benchRequestTime) })
 				ideal := measureIdeal(s, rate)
-				slow(benchRequestTime)
-				time.AfterFunc(benchDuration/4, func() { slow(5 * benchRequestTime) })
-				before := s.cpuTime()
-				alloc := s.allocatedBytes()
+				slowDown(benchRequestTime)
+				time.AfterFunc(benchDuration/4, func() { slowDown(5 * benchRequestTime) })
+				cpuBefore := s.cpuTime()
+				allocBefore := s.allocatedBytes()
 				if tc.kill {
 					time.AfterFunc(benchDuration/2, func() { _ = s.entries[4].cmd.Process.Kill() })
 				}
-				own, n, failed := measureEntries(s, rate, tc.kill)
-				for _, at := range []float64{50, 99, 99.9} {
-					v := float64(own.ValueAtPercentile(at))
-					b.ReportMetric(v/1e6, fmt.Sprintf("p%v-ms", at))
-					b.ReportMetric(v/float64(ideal.ValueAtPercentile(at)), fmt.Sprintf("p%v/ideal", at))
+				latencies, n, failed := measureEntries(s, rate, tc.kill)
+				for _, percent := range []float64{50, 99, 99.9} {
+					v := float64(latencies.ValueAtPercentile(percent))
+					b.ReportMetric(v/1e6, fmt.Sprintf("p%v-ms", percent))
+					b.ReportMetric(v/float64(ideal.ValueAtPercentile(percent)), fmt.Sprintf("p%v/ideal", percent))
 				}
 				b.ReportMetric(float64(failed), "failed")
 				b.ReportMetric(float64(s.targetCounts().Over), "over")
 				if !tc.kill {
-					b.ReportMetric((s.cpuTime()-before).Seconds()*1e6/float64(n), "cpu-us/req")
-					b.ReportMetric((s.allocatedBytes()-alloc)/float64(n), "B-alloc/req")
+					b.ReportMetric((s.cpuTime()-cpuBefore).Seconds()*1e6/float64(n), "cpu-us/req")
+					b.ReportMetric((s.allocatedBytes()-allocBefore)/float64(n), "B-alloc/req")
 				}
 				for _, p := range s.processes {
 					p.kill()
@@ -83,6 +83,7 @@
 	}
 }
 
+// benchSystem returns a system of 9 entry processes and the targets, ready for requests.
 func benchSystem(b *testing.B) *system {
 	s := &system{t: b, dir: b.TempDir()}
 	s.startStoreAndHostList()
@@ -95,7 +96,8 @@
 	return s
 }
 
-// cpuTime returns the processor time that the entry processes have used.
+// cpuTime returns the processor time that the entry processes have used. It assumes 100 clock ticks a
+// second, and leaves out processes that have ended.
 func (s *system) cpuTime() time.Duration {
 	var sum time.Duration
 	for _, e := range s.entries {
@@ -103,15 +105,15 @@
 		if err != nil {
 			continue
 		}
-		f := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+2:]))
-		user, _ := strconv.Atoi(f[11])
-		sys, _ := strconv.Atoi(f[12])
-		sum += time.Duration(user+sys) * (time.Second / 100)
+		fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+2:]))
+		userTicks, _ := strconv.Atoi(fields[11])
+		systemTicks, _ := strconv.Atoi(fields[12])
+		sum += time.Duration(userTicks+systemTicks) * (time.Second / 100)
 	}
 	return sum
 }
 
-// allocatedBytes returns the bytes that the entry processes have allocated.
+// allocatedBytes returns the bytes that the entry processes have allocated on the heap in all.
 func (s *system) allocatedBytes() float64 {
 	sum := 0.0
 	for _, e := range s.entries {
@@ -119,10 +121,10 @@
 		if err != nil {
 			continue
 		}
-		sc := bufio.NewScanner(resp.Body)
-		for sc.Scan() {
-			if v, ok := strings.CutPrefix(sc.Text(), "go_memstats_alloc_bytes_total "); ok {
-				n, _ := strconv.ParseFloat(v, 64)
+		lines := bufio.NewScanner(resp.Body)
+		for lines.Scan() {
+			if value, ok := strings.CutPrefix(lines.Text(), "go_memstats_alloc_bytes_total "); ok {
+				n, _ := strconv.ParseFloat(value, 64)
 				sum += n
 			}
 		}
@@ -131,55 +133,57 @@
 	return sum
 }
 
-// runOpenLoop calls do at random moments at the rate for the span, and waits for all of them.
-func runOpenLoop(rate float64, do func(n int)) {
-	r := rand.New(rand.NewPCG(1, 2))
+// runOpenLoop calls send at Poisson arrivals of the given rate for benchDuration, and waits for all
+// calls.
+func runOpenLoop(rate float64, send func(n int)) {
+	rng := rand.New(rand.NewPCG(1, 2))
 	var wg sync.WaitGroup
 	next := time.Now()
 	end := next.Add(benchDuration)
 	for n := 0; next.Before(end); n++ {
-		next = next.Add(time.Duration(r.ExpFloat64() / rate * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		<-time.After(time.Until(next))
-		wg.Go(func() { do(n) })
+		wg.Go(func() { send(n) })
 	}
 	wg.Wait()
 }
 
-// measureIdeal measures a caller that knows every slot and queues before all of them.
+// measureIdeal returns the latencies of a caller with a single queue for all slots of the targets.
 func measureIdeal(s *system, rate float64) *hdrhistogram.Histogram {
-	h := hdrhistogram.New(1, int64(time.Minute), 3)
-	free := make(chan string, benchTargets*benchSlots)
+	latencies := hdrhistogram.New(1, int64(time.Minute), 3)
+	freeSlots := make(chan string, benchTargets*benchSlots)
 	for range benchSlots {
-		for _, t := range s.targetAddrs {
-			free <- t
+		for _, targetAddr := range s.targetAddrs {
+			freeSlots <- targetAddr
 		}
 	}
 	var mu sync.Mutex
 	runOpenLoop(rate, func(int) {
-		came := time.Now()
-		t := <-free
-		req, _ := http.NewRequest(http.MethodGet, "http://"+t+"/ideal", nil)
+		arrivedAt := time.Now()
+		targetAddr := <-freeSlots
+		req, _ := http.NewRequest(http.MethodGet, "http://"+targetAddr+"/ideal", nil)
 		req.Header.Set("X-Request-Id", "ideal")
 		a := doRequest(req)
-		free <- t
+		freeSlots <- targetAddr
 		mu.Lock()
 		defer mu.Unlock()
 		if a.status == http.StatusOK {
-			_ = h.RecordValue(int64(time.Since(came)))
+			_ = latencies.RecordValue(int64(time.Since(arrivedAt)))
 		}
 	})
-	return h
+	return latencies
 }
 
-// measureEntries measures the entry processes; failed counts what wasn't answered whole.
-func measureEntries(s *system, rate float64, kill bool) (h *hdrhistogram.Histogram, n, failed int) {
-	h = hdrhistogram.New(1, int64(time.Minute), 3)
+// measureEntries returns the latencies through the entry processes, the number n of requests, and the
+// number of those that were not answered with status 200.
+func measureEntries(s *system, rate float64, kill bool) (latencies *hdrhistogram.Histogram, n, failed int) {
+	latencies = hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
 	runOpenLoop(rate, func(i int) {
-		came := time.Now()
+		arrivedAt := time.Now()
 		e := s.entries[i%len(s.entries)]
 		select {
-		case <-e.exited: // the balancer has noticed
+		case <-e.exited: // the balancer has taken it out
 			e = s.entries[(i+1)%len(s.entries)]
 		default:
 		}
@@ -192,16 +196,16 @@
 			failed++
 			return
 		}
-		_ = h.RecordValue(int64(time.Since(came)))
+		_ = latencies.RecordValue(int64(time.Since(arrivedAt)))
 	})
-	return h, n, failed
+	return latencies, n, failed
 }
 
-// BenchmarkIdle measures what 9 idle processes cost: store calls and processor time a
-// second, and then what 2,000 tasks cost at the store.
+// BenchmarkIdle measures the store calls and the processor time per second of 9 idle entry processes,
+// and then the store calls of a job of 6,000 tasks.
 func BenchmarkIdle(b *testing.B) {
 	for range b.N {
-		// The leases and rounds of the example settings, not those of the tests.
+		// The cost depends on leases and intervals, so those of the example settings are used.
 		s := &system{t: b, dir: b.TempDir(), exampleTimings: true}
 		s.startStoreAndHostList()
 		s.addTargets(10, benchSlots, time.Millisecond)
@@ -212,37 +216,38 @@
 		s.putSheet()
 		s.awaitOwnership()
 		reads, writes := s.storeCalls()
-		cpu, began := s.cpuTime(), time.Now()
+		cpuBefore, startedAt := s.cpuTime(), time.Now()
 		<-time.After(benchDuration)
-		span := time.Since(began).Seconds()
-		r, w := s.storeCalls()
-		b.ReportMetric(float64(r-reads)/span, "idle-reads/s")
-		b.ReportMetric(float64(w-writes)/span, "idle-writes/s")
-		b.ReportMetric(100*(s.cpuTime()-cpu).Seconds()/span/9, "idle-cpu-%/process")
+		seconds := time.Since(startedAt).Seconds()
+		readsNow, writesNow := s.storeCalls()
+		b.ReportMetric(float64(readsNow-reads)/seconds, "idle-reads/s")
+		b.ReportMetric(float64(writesNow-writes)/seconds, "idle-writes/s")
+		b.ReportMetric(100*(s.cpuTime()-cpuBefore).Seconds()/seconds/9, "idle-cpu-%/process")
 		const tasks = 6000
-		reads, writes = r, w
-		began = time.Now()
+		reads, writes = readsNow, writesNow
+		startedAt = time.Now()
 		s.runCommand(0, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "--n", fmt.Sprint(tasks), "--cpu", "250", "--mem", "100", "--run", "500ms", "bench")
-		eventually(b, "done", func() bool { return s.getJob(s.entries[0], "bench").State == "done" })
-		span = time.Since(began).Seconds()
-		r, w = s.storeCalls()
-		b.ReportMetric(float64(w-writes)/tasks*1000, "writes/1000-tasks")
-		b.ReportMetric(float64(r-reads)/tasks*1000, "reads/1000-tasks")
-		b.ReportMetric(tasks/span, "tasks/s")
+		eventually(b, "the job done", func() bool { return s.getJob(s.entries[0], "bench").State == "done" })
+		seconds = time.Since(startedAt).Seconds()
+		readsNow, writesNow = s.storeCalls()
+		b.ReportMetric(float64(writesNow-writes)/tasks*1000, "writes/1000-tasks")
+		b.ReportMetric(float64(readsNow-reads)/tasks*1000, "reads/1000-tasks")
+		b.ReportMetric(tasks/seconds, "tasks/s")
 		for _, p := range s.processes {
 			p.kill()
 		}
 	}
 }
 
+// storeCalls returns the numbers of reads and writes that the store has counted.
 func (s *system) storeCalls() (reads, writes int) {
-	var c struct{ Reads, Writes int }
-	s.sendJSON(http.MethodGet, "http://"+s.storeAddr+"/calls", nil, &c)
-	return c.Reads, c.Writes
+	var calls struct{ Reads, Writes int }
+	s.sendJSON(http.MethodGet, "http://"+s.storeAddr+"/calls", nil, &calls)
+	return calls.Reads, calls.Writes
 }
 
-// BenchmarkOneCore measures how many requests a second one entry process answers on one
-// core (GOMAXPROCS=1), and what a request costs it.
+// BenchmarkOneCore measures how many requests per second one entry process answers on one core
+// (GOMAXPROCS=1), and the processor time and allocations of a request.
 func BenchmarkOneCore(b *testing.B) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		b.Run(method, func(b *testing.B) {
@@ -253,24 +258,24 @@
 				s.addEntry()
 				s.putSheet()
 				s.awaitOwnership()
-				cpu, alloc, began := s.cpuTime(), s.allocatedBytes(), time.Now()
-				var done atomic.Int64
+				cpuBefore, allocBefore, startedAt := s.cpuTime(), s.allocatedBytes(), time.Now()
+				var answered atomic.Int64
 				var wg sync.WaitGroup
 				for range 64 {
 					wg.Go(func() {
-						for time.Since(began) < benchDuration/2 {
+						for time.Since(startedAt) < benchDuration/2 {
 							req, _ := http.NewRequest(method, "http://"+s.entries[0].callerAddr+"/registro/bottle", strings.NewReader("bottle"))
 							if a := doRequest(req); a.status == http.StatusOK {
-								done.Add(1)
+								answered.Add(1)
 							}
 						}
 					})
 				}
 				wg.Wait()
-				n := float64(done.Load())
-				b.ReportMetric(n/time.Since(began).Seconds(), "req/s")
-				b.ReportMetric((s.cpuTime()-cpu).Seconds()*1e6/n, "cpu-us/req")
-				b.ReportMetric((s.allocatedBytes()-alloc)/n, "B-alloc/req")
+				n := float64(answered.Load())
+				b.ReportMetric(n/time.Since(startedAt).Seconds(), "req/s")
+				b.ReportMetric((s.cpuTime()-cpuBefore).Seconds()*1e6/n, "cpu-us/req")
+				b.ReportMetric((s.allocatedBytes()-allocBefore)/n, "B-alloc/req")
 				for _, p := range s.processes {
 					p.kill()
 				}
@@ -279,8 +284,8 @@
 	}
 }
 
-// BenchmarkTakeover measures the time from the death of a rack's holder to the next
-// start of a task on that rack, as a multiple of the process's lease.
+// BenchmarkTakeover measures the time from the failure of the entry process that owns a rack to the
+// next start of a task on that rack, as a multiple of the lease.
 func BenchmarkTakeover(b *testing.B) {
 	const lease = 2 * time.Second
 	for range b.N {
@@ -292,45 +297,45 @@
 		}
 		s.putSheet()
 		s.runCommand(0, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "--n", "5000", "--cpu", "1000", "--mem", "100", "--run", "100ms", "bench")
-		var victim *entryProcess
-		eventually(b, "tasks on a rack of another process", func() bool {
+		var owner *entryProcess
+		eventually(b, "tasks started on rack0, its owner known", func() bool {
 			for _, e := range s.entries[1:] {
 				if slices.Contains(e.status().Racks, "rack0") && s.startsOnRack(0) > 20 {
-					victim = e
+					owner = e
 				}
 			}
-			return victim != nil || slices.Contains(s.entries[0].status().Racks, "rack0") && s.startsOnRack(0) > 20
+			return owner != nil || slices.Contains(s.entries[0].status().Racks, "rack0") && s.startsOnRack(0) > 20
 		})
-		if victim == nil {
-			victim = s.entries[0]
+		if owner == nil {
+			owner = s.entries[0]
 		}
-		_ = victim.cmd.Process.Kill()
-		<-victim.exited
-		died := time.Now()
-		before := s.startsOnRack(0)
-		eventually(b, "a start on the rack", func() bool { return s.startsOnRack(0) > before })
-		b.ReportMetric(time.Since(died).Seconds()/lease.Seconds(), "leases")
+		_ = owner.cmd.Process.Kill()
+		<-owner.exited
+		killedAt := time.Now()
+		startsBefore := s.startsOnRack(0)
+		eventually(b, "another task started on the rack", func() bool { return s.startsOnRack(0) > startsBefore })
+		b.ReportMetric(time.Since(killedAt).Seconds()/lease.Seconds(), "leases")
 		for _, p := range s.processes {
 			p.kill()
 		}
 	}
 }
 
-// startsOnRack returns how many tasks were started on the workers of a rack.
+// startsOnRack returns the number of placements started on the workers of a rack. It assumes 3 racks.
 func (s *system) startsOnRack(rack int) int {
 	n := 0
 	for i, addr := range s.workerAddrs {
 		if i%3 == rack {
-			var st workerStats
-			s.sendJSON(http.MethodGet, "http://"+addr+"/stats", nil, &st)
-			n += len(st.Starts)
+			var stats workerStats
+			s.sendJSON(http.MethodGet, "http://"+addr+"/stats", nil, &stats)
+			n += len(stats.Starts)
 		}
 	}
 	return n
 }
 
-// BenchmarkMemory measures an entry process's resident memory when idle, and per
-// remembered key of a request.
+// BenchmarkMemory measures the resident memory of an idle entry process, and its growth per recorded
+// request key.
 func BenchmarkMemory(b *testing.B) {
 	const keys = 40000
 	for range b.N {
@@ -340,7 +345,7 @@
 		s.addEntry()
 		s.putSheet()
 		s.awaitOwnership()
-		before := s.entries[0].residentBytes()
+		bytesBefore := s.entries[0].residentBytes()
 		var next atomic.Int64
 		var wg sync.WaitGroup
 		for range 32 {
@@ -351,15 +356,15 @@
 			})
 		}
 		wg.Wait()
-		b.ReportMetric(before/(1<<20), "idle-MiB")
-		b.ReportMetric((s.entries[0].residentBytes()-before)/keys, "B/key")
+		b.ReportMetric(bytesBefore/(1<<20), "idle-MiB")
+		b.ReportMetric((s.entries[0].residentBytes()-bytesBefore)/keys, "B/key")
 		for _, p := range s.processes {
 			p.kill()
 		}
 	}
 }
 
-// residentBytes returns a process's residentBytes memory in bytes.
+// residentBytes returns the resident memory of the process in bytes, or 0 if the process has ended.
 func (e *entryProcess) residentBytes() float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", e.cmd.Process.Pid))
 	if err != nil {
@@ -369,8 +374,9 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// BenchmarkLeave measures, with the example settings, how long a target that leaves
-// goes on getting new requests, by each way in which it becomes known.
+// BenchmarkLeave measures, with the timings of the example settings, for how long a leaving target
+// still gets new requests: once when the host list says so, and once when the target announces it
+// in its answers.
 func BenchmarkLeave(b *testing.B) {
 	for range b.N {
 		s := &system{t: b, dir: b.TempDir(), exampleTimings: true}
@@ -382,7 +388,7 @@
 		s.putSheet()
 		s.awaitOwnership()
 		l := startLoad(s, 6)
-		for _, way := range []struct {
+		for _, cause := range []struct {
 			name   string
 			target int
 			leave  func(addr string)
@@ -395,17 +401,17 @@
 			}},
 		} {
 			l.awaitAnswers(300)
-			way.leave(s.targetAddrs[way.target])
-			left := time.Now()
-			last, total := left, -1
-			for time.Since(last) < time.Second {
-				var st targetStats
-				s.sendJSON(http.MethodGet, "http://"+s.targetAddrs[way.target]+"/stats", nil, &st)
-				if st.Total != total {
-					last, total = time.Now(), st.Total
+			cause.leave(s.targetAddrs[cause.target])
+			leftAt := time.Now()
+			lastRequestAt, total := leftAt, -1
+			for time.Since(lastRequestAt) < time.Second {
+				var stats targetStats
+				s.sendJSON(http.MethodGet, "http://"+s.targetAddrs[cause.target]+"/stats", nil, &stats)
+				if stats.Total != total {
+					lastRequestAt, total = time.Now(), stats.Total
 				}
 			}
-			b.ReportMetric(last.Sub(left).Seconds(), way.name+"-s")
+			b.ReportMetric(lastRequestAt.Sub(leftAt).Seconds(), cause.name+"-s")
 		}
 		l.stop()
 		for _, p := range s.processes {
--- a/internal/proc/whole/doc.go
+++ b/internal/proc/whole/doc.go
@@ -1,2 +1,3 @@
-// Package whole holds the tests of the whole path: real processes over loopback.
+// Package whole holds the end-to-end tests and benchmarks: they run entry processes and
+// stand-ins as separate processes that communicate over loopback.
 package whole
--- a/internal/proc/whole/fault_test.go
+++ b/internal/proc/whole/fault_test.go
@@ -15,10 +15,11 @@
 	"bramleysail.example/bramleysail/internal/plat/hosts"
 )
 
-func newRequestSystem(t *testing.T, entries, targets, slots int, work time.Duration) *system {
+// newRequestSystem returns a system of targets and entry processes that is ready for requests.
+func newRequestSystem(t *testing.T, entries, targets, slots int, requestTime time.Duration) *system {
 	t.Helper()
 	s := newSystem(t)
-	s.addTargets(targets, slots, work)
+	s.addTargets(targets, slots, requestTime)
 	for range entries {
 		s.addEntry()
 	}
@@ -27,19 +28,20 @@
 	return s
 }
 
-func (s *system) setTargetFault(addr string, f target.Fault, work time.Duration) {
+// setTargetFault sets the fault of a target and how long it runs each request.
+func (s *system) setTargetFault(addr string, f target.Fault, requestTime time.Duration) {
 	s.sendJSON(http.MethodPost, "http://"+addr+"/fault", struct {
 		Fault target.Fault
 		Work  string
-	}{f, work.String()}, nil)
+	}{f, requestTime.String()}, nil)
 }
 
-// A target garbles its answer. A caller must see a clear error, never a part of an
-// answer or another's, and must not be told "not run" of what ran; the next caller on
-// the same connection must not see what was left on it.
+// A target sends an invalid answer. The caller must get a clear error, never a partial answer or
+// the answer to another request, and a request that has run must not be reported as not run. The
+// next request on the same connection must not get the remains of the invalid answer.
 func TestTargetFaults(t *testing.T) {
-	const work = 2 * time.Millisecond
-	s := newRequestSystem(t, 1, 1, 4, work)
+	const requestTime = 2 * time.Millisecond
+	s := newRequestSystem(t, 1, 1, 4, requestTime)
 	addr := s.entries[0].callerAddr
 	for _, tc := range []struct {
 		fault   target.Fault
@@ -57,59 +59,59 @@
 		{target.FaultUnframed, 502, "unknown", "answer-unusable", 1},
 		{target.FaultDuplicate, 200, "done", "", 1},
 	} {
-		s.setTargetFault(s.targetAddrs[0], tc.fault, work)
+		s.setTargetFault(s.targetAddrs[0], tc.fault, requestTime)
 		key := "faulty-" + string(tc.fault)
 		a := postCheckin(addr, key, key)
 		if a.status != tc.status || a.outcome != tc.outcome || !strings.Contains(a.body, tc.code) {
-			t.Errorf("%s: %+v", tc.fault, a)
+			t.Errorf("fault %s: answer %+v", tc.fault, a)
 		}
-		s.setTargetFault(s.targetAddrs[0], target.FaultNone, work)
+		s.setTargetFault(s.targetAddrs[0], target.FaultNone, requestTime)
 		var runs map[string]int
 		s.sendJSON(http.MethodGet, "http://"+s.targetAddrs[0]+"/runs", nil, &runs)
 		if runs[key] != tc.runs {
-			t.Errorf("%s: ran %d times, not %d", tc.fault, runs[key], tc.runs)
+			t.Errorf("fault %s: ran %d times, want %d", tc.fault, runs[key], tc.runs)
 		}
-		eventually(t, "an answer after "+string(tc.fault), func() bool {
-			k := fmt.Sprintf("after-%s-%d", tc.fault, time.Now().UnixNano())
-			b := postCheckin(addr, k, k)
-			if b.status == 200 && b.body != "POST /checkin "+k {
-				t.Errorf("after %s another's answer: %+v", tc.fault, b)
+		eventually(t, "an answer after fault "+string(tc.fault), func() bool {
+			nextKey := fmt.Sprintf("after-%s-%d", tc.fault, time.Now().UnixNano())
+			next := postCheckin(addr, nextKey, nextKey)
+			if next.status == 200 && next.body != "POST /checkin "+nextKey {
+				t.Errorf("after fault %s, answer to another request: %+v", tc.fault, next)
 			}
-			return b.status == 200
+			return next.status == 200
 		})
 	}
 }
 
-// An entry process is killed under load. Callers whose requests were in it see a broken
-// connection; the others must be answered on, no check-in may run twice, and the
-// survivors must not overfill the targets that they take over.
+// An entry process is killed under load. Callers whose requests it was handling see a broken
+// connection. All others must still be answered, no check-in may run twice, and the remaining
+// entry processes must not exceed the slots of the targets that they take over.
 func TestEntryFailure(t *testing.T) {
 	s := newRequestSystem(t, 3, 6, 3, 10*time.Millisecond)
 	l := startLoad(s, 24)
 	l.awaitAnswers(300)
-	dead := s.entries[1]
-	_ = dead.cmd.Process.Kill()
-	<-dead.exited
-	l.removeAddr(dead.callerAddr)
+	killed := s.entries[1]
+	_ = killed.cmd.Process.Kill()
+	<-killed.exited
+	l.removeAddr(killed.callerAddr)
 	s.awaitOwnership()
 	l.awaitAnswers(300)
 	l.stop()
 	l.checkAnswers(t)
 }
 
-// An entry process stands still for longer than its lease and goes on afterwards, as
-// on an overloaded host. Others have taken its targets over; when it wakes up it must
-// not send to them as if they were still its own.
+// An entry process is paused for longer than its lease and resumed, as on an overloaded host.
+// Meanwhile other entry processes take over its targets. After it resumes it must not send to
+// them as if it still owned them.
 func TestPausedEntry(t *testing.T) {
 	s := newRequestSystem(t, 3, 6, 3, 10*time.Millisecond)
 	l := startLoad(s, 24)
 	l.awaitAnswers(200)
-	p := s.entries[1]
-	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
-	l.removeAddr(p.callerAddr)
-	eventually(t, "its targets taken over", func() bool { return s.entries[0].ownedTargets()+s.entries[2].ownedTargets() == len(s.targetAddrs) })
+	paused := s.entries[1]
+	_ = paused.cmd.Process.Signal(syscall.SIGSTOP)
+	l.removeAddr(paused.callerAddr)
+	eventually(t, "targets of the paused process taken over", func() bool { return s.entries[0].ownedTargets()+s.entries[2].ownedTargets() == len(s.targetAddrs) })
 	l.awaitAnswers(100)
-	_ = p.cmd.Process.Signal(syscall.SIGCONT)
+	_ = paused.cmd.Process.Signal(syscall.SIGCONT)
 	l.awaitAnswers(100)
 	s.awaitOwnership()
 	l.awaitAnswers(100)
@@ -117,18 +119,18 @@
 	l.checkAnswers(t)
 }
 
-// An operator stops an entry process with SIGTERM under load. The balancer notices by
-// the readiness and sends for a while longer; not one caller may see an error.
+// An operator stops an entry process with SIGTERM under load. The balancer learns of it from the
+// readiness check and keeps sending for a while. No caller may get an error.
 func TestGracefulStopUnderLoad(t *testing.T) {
 	s := newRequestSystem(t, 3, 6, 3, 10*time.Millisecond)
 	l := startLoad(s, 12)
 	l.awaitAnswers(200)
-	p := s.entries[2]
-	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	eventually(t, "not ready", func() bool { return !p.isReady() })
-	l.awaitAnswers(30) // the balancer is slow to notice
-	l.removeAddr(p.callerAddr)
-	<-p.exited
+	stopping := s.entries[2]
+	_ = stopping.cmd.Process.Signal(syscall.SIGTERM)
+	eventually(t, "the stopping process not ready", func() bool { return !stopping.isReady() })
+	l.awaitAnswers(30) // the balancer still sends to the stopping process
+	l.removeAddr(stopping.callerAddr)
+	<-stopping.exited
 	l.awaitAnswers(200)
 	l.stop()
 	l.checkAnswers(t)
@@ -137,19 +139,19 @@
 			t.Errorf("%s: %+v", key, a)
 		}
 	}
-	if p.exitErr != nil {
-		t.Errorf("it ended with %v", p.exitErr)
+	if stopping.exitErr != nil {
+		t.Errorf("the stopped process exited with %v", stopping.exitErr)
 	}
 }
 
-// The platform's store is away for longer than every lease. Nothing can be taken over
-// meanwhile, so requests go on as they were, and go on when it is back.
+// The platform's store is unreachable for longer than every lease. No target can be taken over
+// without it, so requests must be served as before, during the outage and after it.
 func TestStoreAway(t *testing.T) {
 	s := newRequestSystem(t, 3, 6, 3, 5*time.Millisecond)
 	l := startLoad(s, 12)
 	l.awaitAnswers(100)
 	s.setStoreDown(true)
-	eventually(t, "every lease past", func() bool {
+	eventually(t, "every entry process failing to renew its membership", func() bool {
 		for _, e := range s.entries {
 			if !strings.Contains(e.outputText(), "membership not renewed") {
 				return false
@@ -157,11 +159,11 @@
 		}
 		return true
 	})
-	lease := time.After(3 * time.Second) // a lease of 2 s and more, whatever else happens
-	for past := false; !past; {
+	leaseExpiry := time.After(3 * time.Second) // longer than the leases of 2 s, however fast the answers come
+	for expired := false; !expired; {
 		select {
-		case <-lease:
-			past = true
+		case <-leaseExpiry:
+			expired = true
 		default:
 			l.awaitAnswers(20)
 		}
@@ -179,28 +181,30 @@
 	}
 }
 
+// setStoreDown makes the store unreachable or reachable.
 func (s *system) setStoreDown(down bool) {
 	s.sendJSON(http.MethodPost, "http://"+s.storeAddr+"/fault", struct{ Down bool }{down}, nil)
 }
 
-// A target leaves: by its own word, by the host list, or because an operator takes its
-// failure domain out. Soon it must get nothing new, while the others answer on.
+// A target is leaving: it announces so in its answers, the host list says so, or an operator
+// evacuates its failure domain. It must soon get no new requests, and the other targets must still
+// answer.
 func TestTargetLeaving(t *testing.T) {
 	s := newRequestSystem(t, 2, 4, 3, 10*time.Millisecond)
 	total := func(i int) int {
-		var st targetStats
-		s.sendJSON(http.MethodGet, "http://"+s.targetAddrs[i]+"/stats", nil, &st)
-		return st.Total
+		var stats targetStats
+		s.sendJSON(http.MethodGet, "http://"+s.targetAddrs[i]+"/stats", nil, &stats)
+		return stats.Total
 	}
-	n := 0
-	// burst sends as many requests at once as all slots take, and reports whether some
+	sent := 0
+	// burst sends as many concurrent requests as there are slots in all, and reports whether any
 	// reached target i.
 	burst := func(i int) bool {
 		before := total(i)
 		var wg sync.WaitGroup
 		for range 12 {
-			n++
-			key, e := fmt.Sprint("q", n), s.entries[n%2]
+			sent++
+			key, e := fmt.Sprint("q", sent), s.entries[sent%2]
 			wg.Go(func() {
 				if a := postCheckin(e.callerAddr, key, key); a.status != http.StatusOK {
 					t.Errorf("%s: %+v", key, a)
@@ -210,12 +214,12 @@
 		wg.Wait()
 		return total(i) > before
 	}
-	for _, way := range []struct {
+	for _, cause := range []struct {
 		name   string
 		target int
 		leave  func(addr string)
 	}{
-		{"its own word", 0, func(addr string) {
+		{"its own announcement", 0, func(addr string) {
 			s.sendJSON(http.MethodPost, "http://"+addr+"/fault", struct {
 				Leaving bool
 				Work    string
@@ -228,21 +232,21 @@
 			s.runCommand(0, "domain", "out", "--admin", s.entries[0].adminAddr, zones[2])
 		}},
 	} {
-		eventually(t, "requests at the target", func() bool { return burst(way.target) })
-		way.leave(s.targetAddrs[way.target])
-		quiet := 0
-		eventually(t, "nothing new after "+way.name, func() bool {
-			if quiet++; burst(way.target) {
-				quiet = 0
+		eventually(t, "requests at the target", func() bool { return burst(cause.target) })
+		cause.leave(s.targetAddrs[cause.target])
+		quietBursts := 0
+		eventually(t, "no new requests after "+cause.name, func() bool {
+			if quietBursts++; burst(cause.target) {
+				quietBursts = 0
 			}
-			return quiet == 2
+			return quietBursts == 2
 		})
 	}
 }
 
-// A caller repeats its check-ins through another entry process after the one that took
-// them, or their home, has died, and then after the next has died as well. What was
-// answered must be answered again, and nothing may run twice.
+// A caller repeats its check-ins through another entry process after the one that accepted them, or
+// the home of their records, was killed, and again after a second one was killed. Check-ins that
+// were answered must get an answer again, and none may run twice.
 func TestRepeatAfterEntryFailure(t *testing.T) {
 	const n = 40
 	s := newRequestSystem(t, 4, 4, 4, 2*time.Millisecond)
@@ -252,56 +256,56 @@
 			t.Fatalf("%s: %+v", key, a)
 		}
 	}
-	for _, dead := range []int{0, 1} {
-		_ = s.entries[dead].cmd.Process.Kill()
-		<-s.entries[dead].exited
+	for _, killed := range []int{0, 1} {
+		_ = s.entries[killed].cmd.Process.Kill()
+		<-s.entries[killed].exited
 		s.awaitOwnership()
 		for i := range n {
 			key := fmt.Sprint("case-", i)
 			eventually(t, "an answer to the repeat of "+key, func() bool {
 				a := postCheckin(s.entries[2+i%2].callerAddr, key, key)
 				if a.status != http.StatusOK && a.errorCode() != "home-unsure" {
-					t.Fatalf("after the death of %d, %s: %+v", dead, key, a)
+					t.Fatalf("after entry process %d was killed, %s: %+v", killed, key, a)
 				}
 				return a.status == http.StatusOK
 			})
 		}
 	}
-	if st := s.targetCounts(); st.Total != n || st.Twice != 0 {
-		t.Errorf("%d check-ins: %+v", n, st)
+	if stats := s.targetCounts(); stats.Total != n || stats.Twice != 0 {
+		t.Errorf("%d check-ins: %+v", n, stats)
 	}
 }
 
-// A check-in hangs at its target, and the process that sent it dies. Nobody knows
-// whether it has run: a repeat must be told so and not be run.
+// A check-in hangs at its target, and the entry process that sent it is killed. Whether the
+// check-in has run is unknown: a repeat must be answered so and must not run.
 func TestUnknownOutcomeAfterEntryFailure(t *testing.T) {
 	s := newRequestSystem(t, 3, 1, 4, 2*time.Millisecond)
 	s.setTargetFault(s.targetAddrs[0], target.FaultHang, 0)
 	go postCheckin(s.entries[0].callerAddr, "lost", "bottle")
-	eventually(t, "it runs", func() bool { return s.targetCounts().Total == 1 })
+	eventually(t, "the check-in running", func() bool { return s.targetCounts().Total == 1 })
 	if a := postCheckin(s.entries[1].callerAddr, "lost", "bottle"); a.errorCode() != "still-running" {
-		t.Errorf("a repeat while it runs: %+v", a)
+		t.Errorf("a repeat while the check-in runs: %+v", a)
 	}
 	_ = s.entries[0].cmd.Process.Kill()
 	<-s.entries[0].exited
 	s.setTargetFault(s.targetAddrs[0], target.FaultNone, 0)
-	eventually(t, "the outcome unknown", func() bool {
+	eventually(t, "the outcome reported as unknown", func() bool {
 		a := postCheckin(s.entries[1].callerAddr, "lost", "bottle")
 		if a.status == http.StatusOK {
-			t.Fatalf("it was run again: %+v", a)
+			t.Fatalf("the check-in was run again: %+v", a)
 		}
 		return a.errorCode() == "outcome-unknown"
 	})
-	if st := s.targetCounts(); st.Total != 1 {
-		t.Errorf("it ran %d times", st.Total)
+	if stats := s.targetCounts(); stats.Total != 1 {
+		t.Errorf("the check-in ran %d times", stats.Total)
 	}
 }
 
-// A target answers later than the caller waits. The caller must be told at its deadline
-// that the outcome is unknown, and the late answer must reach nobody else.
+// A target answers after the caller's deadline. At the deadline the caller must get an answer that
+// says that the outcome is unknown, and no other caller may get the late answer.
 func TestLateAnswer(t *testing.T) {
 	s := newRequestSystem(t, 1, 1, 4, 300*time.Millisecond)
-	late := func(key string) answer {
+	postLate := func(key string) answer {
 		req, err := http.NewRequest(http.MethodPost, "http://"+s.entries[0].callerAddr+"/registro/checkin", strings.NewReader(key))
 		if err != nil {
 			t.Fatal(err)
@@ -311,7 +315,7 @@
 		return doRequest(req)
 	}
 	for i := range 3 {
-		if a := late(fmt.Sprint("late-", i)); a.errorCode() != "answer-lost" || a.outcome != "unknown" {
+		if a := postLate(fmt.Sprint("late-", i)); a.errorCode() != "answer-lost" || a.outcome != "unknown" {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -321,37 +325,37 @@
 		eventually(t, "an answer", func() bool {
 			a := postCheckin(s.entries[0].callerAddr, key, key)
 			if a.status == http.StatusOK && a.body != "POST /checkin "+key {
-				t.Errorf("%s got another's answer: %+v", key, a)
+				t.Errorf("%s got the answer to another request: %+v", key, a)
 			}
 			return a.status == http.StatusOK
 		})
 	}
 }
 
-// One of two targets cuts every connection without an answer. Requests that may run
-// twice must be answered by the other all the same; check-ins must not be tried again.
+// One of two targets closes every connection without an answer. Idempotent requests must be
+// retried and answered by the other target. Check-ins must not be retried.
 func TestRetry(t *testing.T) {
 	s := newRequestSystem(t, 1, 2, 4, time.Millisecond)
 	s.setTargetFault(s.targetAddrs[0], target.FaultDrop, time.Millisecond)
-	lost := 0
+	unknown := 0
 	for i := range 40 {
 		req, err := http.NewRequest(http.MethodGet, "http://"+s.entries[0].callerAddr+"/registro/bottle", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if a := doRequest(req); a.status != http.StatusOK {
-			t.Errorf("a request that may run twice: %+v", a)
+			t.Errorf("an idempotent request was not answered: %+v", a)
 		}
 		key := fmt.Sprint("checkin-", i)
 		if a := postCheckin(s.entries[0].callerAddr, key, key); a.outcome == "unknown" {
-			lost++
+			unknown++
 		}
 	}
 	runs := map[string]int{}
 	for _, addr := range s.targetAddrs {
-		var here map[string]int
-		s.sendJSON(http.MethodGet, "http://"+addr+"/runs", nil, &here)
-		for key, n := range here {
+		var targetRuns map[string]int
+		s.sendJSON(http.MethodGet, "http://"+addr+"/runs", nil, &targetRuns)
+		for key, n := range targetRuns {
 			runs[key] += n
 		}
 	}
@@ -360,12 +364,12 @@
 			t.Errorf("%s ran %d times", key, n)
 		}
 	}
-	t.Logf("%d of 40 check-ins met the faulty target before it was ejected", lost)
+	t.Logf("%d of 40 check-ins were sent to the faulty target before it was ejected", unknown)
 }
 
-// Two entry processes die at once, and with them both memories of some check-ins.
-// Repeats of these must be told that nobody knows; none may run twice, and a first try
-// with a key that tells that it was made since must be served.
+// Two entry processes are killed at once, and both copies of some check-ins' records are lost with
+// them. Repeats of these check-ins must be answered that the outcome is unknown, and none may run
+// twice. A check-in whose key shows that it was created after the loss must be served.
 func TestTwoEntryFailures(t *testing.T) {
 	const n = 60
 	s := newRequestSystem(t, 4, 4, 4, 2*time.Millisecond)
@@ -375,11 +379,11 @@
 			t.Fatalf("%s: %+v", key, a)
 		}
 	}
-	for _, dead := range s.entries[:2] {
-		_ = dead.cmd.Process.Kill()
+	for _, killed := range s.entries[:2] {
+		_ = killed.cmd.Process.Kill()
 	}
-	for _, dead := range s.entries[:2] {
-		<-dead.exited
+	for _, killed := range s.entries[:2] {
+		<-killed.exited
 	}
 	s.awaitOwnership()
 	codes := map[string]int{}
@@ -397,11 +401,11 @@
 			return true
 		})
 	}
-	if st := s.targetCounts(); st.Total != n {
-		t.Errorf("%d check-ins ran %d times", n, st.Total)
+	if stats := s.targetCounts(); stats.Total != n {
+		t.Errorf("%d check-ins, %d runs", n, stats.Total)
 	}
-	t.Logf("answered again %d, unknown %d", codes[""], codes["outcome-unknown"])
-	eventually(t, "a new key served", func() bool {
+	t.Logf("%d repeats answered, %d of unknown outcome", codes[""], codes["outcome-unknown"])
+	eventually(t, "an answer to a check-in with a new key", func() bool {
 		id, err := uuid.NewV7()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proc/whole/load_test.go
+++ b/internal/proc/whole/load_test.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// callerLoad sends check-ins, each with a key of its own, until it is stopped.
+// callerLoad is a closed loop of callers that send check-ins, each with its own key, until it is
+// stopped.
 type callerLoad struct {
 	system      *system
-	stopped     chan struct{}
-	wg          sync.WaitGroup
-	sentCount   atomic.Int64
-	mu          sync.Mutex
-	answers     map[string]answer
-	callerAddrs []string // of the processes that the balancer sends to
+	stopped     chan struct{}     // closed when the callers have to end
+	wg          sync.WaitGroup    // the callers
+	sentCount   atomic.Int64      // check-ins sent; the number in the last one's key
+	mu          sync.Mutex        // guards the fields below
+	answers     map[string]answer // by key
+	callerAddrs []string          // of the entry processes that the balancer sends to
 }
 
-// startLoad begins n callers in a closed loop over the processes.
+// startLoad starts n callers, which send to all entry processes in turn.
 func startLoad(s *system, n int) *callerLoad {
 	l := &callerLoad{system: s, stopped: make(chan struct{}), answers: map[string]answer{}}
 	for _, e := range s.entries {
@@ -32,6 +33,7 @@
 	return l
 }
 
+// runCaller sends check-ins one after the other until the load is stopped.
 func (l *callerLoad) runCaller() {
 	for {
 		select {
@@ -49,7 +51,7 @@
 		l.answers[key] = a
 		l.mu.Unlock()
 		if a.status == http.StatusServiceUnavailable {
-			// A caller that is told when to come back does so, if not quite as late.
+			// Callers retry after the Retry-After delay; 50 ms is a shortened delay.
 			select {
 			case <-l.stopped:
 			case <-time.After(50 * time.Millisecond):
@@ -58,20 +60,20 @@
 	}
 }
 
-// removeAddr takes a process out of the balancer.
+// removeAddr takes an entry process out of the balancer.
 func (l *callerLoad) removeAddr(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var left []string
+	var remaining []string
 	for _, a := range l.callerAddrs {
 		if a != addr {
-			left = append(left, a)
+			remaining = append(remaining, a)
 		}
 	}
-	l.callerAddrs = left
+	l.callerAddrs = remaining
 }
 
-// okCount returns how many were answered whole so far.
+// okCount returns the number of check-ins answered with status 200 so far.
 func (l *callerLoad) okCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,49 +86,50 @@
 	return n
 }
 
-// awaitAnswers waits until n awaitAnswers are answered.
+// awaitAnswers waits until n more check-ins are answered with status 200.
 func (l *callerLoad) awaitAnswers(n int) {
 	l.system.t.Helper()
-	from := l.okCount()
-	eventually(l.system.t, fmt.Sprintf("%d more answers", n), func() bool { return l.okCount() >= from+n })
+	before := l.okCount()
+	eventually(l.system.t, fmt.Sprintf("%d more answers", n), func() bool { return l.okCount() >= before+n })
 }
 
+// stop stops the callers and waits for them.
 func (l *callerLoad) stop() {
 	close(l.stopped)
 	l.wg.Wait()
 }
 
-// checkAnswers holds the answers against what the targets ran: no key twice, no answer that
-// isn't the request's own, nothing "not run" that ran, nothing "done" that didn't,
-// and no target ever with more than its slots.
+// checkAnswers compares the answers with what the targets ran: no key may have run twice, each
+// answer must belong to its request, a request reported as not run must not have run and one that
+// was answered must have run, and no target may have received more requests than it has slots.
 func (l *callerLoad) checkAnswers(t *testing.T) {
 	t.Helper()
 	runs := map[string]int{}
 	for _, addr := range l.system.targetAddrs {
-		var here map[string]int
-		l.system.sendJSON(http.MethodGet, "http://"+addr+"/runs", nil, &here)
-		for k, n := range here {
+		var targetRuns map[string]int
+		l.system.sendJSON(http.MethodGet, "http://"+addr+"/runs", nil, &targetRuns)
+		for k, n := range targetRuns {
 			runs[k] += n
 		}
 	}
-	codes := map[string]int{}
+	answerCounts := map[string]int{}
 	for key, a := range l.answers {
-		codes[fmt.Sprintf("%d %s %s", a.status, a.outcome, a.errorCode())]++
+		answerCounts[fmt.Sprintf("%d %s %s", a.status, a.outcome, a.errorCode())]++
 		switch {
 		case runs[key] > 1:
 			t.Errorf("%s ran %d times: %+v", key, runs[key], a)
 		case a.status == http.StatusOK && (a.body != "POST /checkin "+key || runs[key] != 1):
-			t.Errorf("%s ran %d times and was answered %+v", key, runs[key], a)
+			t.Errorf("%s ran %d times, answer %+v", key, runs[key], a)
 		case a.outcome == "not-run" && runs[key] != 0:
-			t.Errorf("%s ran and was answered %+v", key, a)
+			t.Errorf("%s ran, but the answer is %+v", key, a)
 		}
 	}
-	st := l.system.targetCounts()
-	if st.Over != 0 {
-		t.Errorf("%d requests reached a target whose slots were all busy", st.Over)
+	stats := l.system.targetCounts()
+	if stats.Over != 0 {
+		t.Errorf("%d requests reached a target whose slots were all busy", stats.Over)
 	}
-	if st.Conns > 60 {
-		t.Errorf("a target had %d connections", st.Conns)
+	if stats.Conns > 60 {
+		t.Errorf("a target had %d connections", stats.Conns)
 	}
-	t.Logf("answers %v, busiest target %d requests and %d connections", codes, st.Peak, st.Conns)
+	t.Logf("answers %v, busiest target %d requests and %d connections", answerCounts, stats.Peak, stats.Conns)
 }
--- a/internal/proc/whole/path_test.go
+++ b/internal/proc/whole/path_test.go
@@ -12,8 +12,8 @@
 	"bramleysail.example/bramleysail/internal/batch/jobs"
 )
 
-// The main job: a caller's request enters at any process, reaches a target and its
-// whole answer comes back; a repeat through another process is answered but not run.
+// A caller's request enters at any entry process, reaches a target, and its complete answer comes
+// back. A repeat through another entry process must be answered but not run.
 func TestRequestPath(t *testing.T) {
 	s := newSystem(t)
 	s.addTargets(3, 8, 5*time.Millisecond)
@@ -25,19 +25,19 @@
 	for i, e := range s.entries {
 		a := postCheckin(e.callerAddr, "case-7", "bottle 7")
 		if a.status != http.StatusOK || a.outcome != "done" || a.body != "POST /checkin bottle 7" {
-			t.Errorf("answer %d: %+v", i, a)
+			t.Errorf("answer of entry process %d: %+v", i, a)
 		}
 	}
-	if st := s.targetCounts(); st.Total != 1 || st.Twice != 0 {
-		t.Errorf("three requests with one key: %+v", st)
+	if stats := s.targetCounts(); stats.Total != 1 || stats.Twice != 0 {
+		t.Errorf("three requests with one key: %+v", stats)
 	}
 	if a := postCheckin(s.entries[1].callerAddr, "case-7", "bottle 8"); a.status != http.StatusUnprocessableEntity {
-		t.Errorf("the same key with other content: %+v", a)
+		t.Errorf("the same key with another body: %+v", a)
 	}
 }
 
-// The other main job: a batch job submitted through one process, and again through
-// another, runs on workers that others hold and is recorded as finished once.
+// A batch job is submitted through one entry process and again through others. It must run on the
+// workers of racks that other entry processes own, too, and be recorded as finished once.
 func TestJobPath(t *testing.T) {
 	s := newSystem(t)
 	s.addWorkers(4, 2)
@@ -49,11 +49,11 @@
 		s.runCommand(0, "job", "submit", "--admin", e.adminAddr, "--kind", "audit", "--n", "20", "--run", "50ms", "audit-7")
 	}
 	eventually(t, "the job done", func() bool { return s.getJob(s.entries[1], "audit-7").State == jobs.StateDone })
-	eventually(t, "every result let out", func() bool { _, accepts := s.workerCounts(); return len(accepts) == 20 })
-	starts, accepts := s.workerCounts()
-	for task, n := range accepts {
+	eventually(t, "every result accepted", func() bool { _, accepted := s.workerCounts(); return len(accepted) == 20 })
+	starts, accepted := s.workerCounts()
+	for task, n := range accepted {
 		if n != 1 {
-			t.Errorf("task %s: its result went out %d times", task, n)
+			t.Errorf("the result of %s was accepted %d times", task, n)
 		}
 	}
 	if len(starts) != 20 {
@@ -63,18 +63,18 @@
 	s.runCommand(3, "job", "submit", "--admin", s.entries[0].adminAddr, "--kind", "audit", "--n", "21", "audit-7")
 }
 
-// Operators drop a service from the sheet and declare it again later. Callers are told
-// in between that it isn't known; afterwards its targets are used as before, none of them
-// by two processes that each think they own it.
+// Operators remove a service from the sheet and declare it again later. In between, callers must be
+// answered that the service is unknown. Afterwards its targets must be used as before, and no two
+// entry processes may both assume that they own the same target.
 func TestRedeclaredService(t *testing.T) {
 	s := newRequestSystem(t, 2, 2, 3, time.Millisecond)
-	put := func(base int, with bool) {
+	putSheet := func(base int, declared bool) {
 		data, err := os.ReadFile(filepath.Join(s.dir, "sheet.toml"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		text := strings.Replace(string(data), "base = 0", fmt.Sprint("base = ", base), 1)
-		if !with {
+		if !declared {
 			text = strings.Replace(text, `name = "registro"`, `name = "another"`, 1)
 		}
 		file := filepath.Join(s.dir, fmt.Sprintf("sheet%d.toml", base))
@@ -83,11 +83,11 @@
 		}
 		s.runCommand(0, "sheet", "put", "--admin", s.entries[0].adminAddr, file)
 	}
-	put(1, false)
+	putSheet(1, false)
 	for _, e := range s.entries {
 		eventually(t, "the service unknown", func() bool { return postCheckin(e.callerAddr, "", "x").errorCode() == "unknown-service" })
 	}
-	put(2, true)
+	putSheet(2, true)
 	for _, e := range s.entries {
 		eventually(t, "the service known", func() bool { return postCheckin(e.callerAddr, "", "x").status == http.StatusOK })
 	}
