--- a/internal/batch/drive/status.go
+++ b/internal/batch/drive/status.go
@@ -49,7 +49,7 @@
 	case s.withheld == 0 && stats.WithheldTasks > 0:
 		h.log.Info("holds back", "tasks", stats.WithheldTasks, "unheard", stats.WorkersUnheard, "workers", stats.WorkersInContact+stats.WorkersLost+stats.WorkersUnheard, "left", stats.WithheldFor)
 	case s.withheld > 0 && stats.WithheldTasks == 0:
-		h.log.Info("withholds no more tasks", "tasks", s.withheld, "unheard", stats.WorkersUnheard)
+		h.log.Info("holds nothing back", "tasks", s.withheld, "unheard", stats.WorkersUnheard)
 	}
 	s.withheld = stats.WithheldTasks
 	s.logBehind(h, stats)
