--- a/internal/batch/drive/commit.go
+++ b/internal/batch/drive/commit.go
@@ -101,6 +101,7 @@
 		s.writing = true
 		c.writes = append(c.writes, store.Write{Key: jobPrefix + s.job.ID, Value: s.data})
 	}
+	// A job that has ended takes two writes: its progress, and the deletion of its entry below jobPrefix.
 	var err error
 	if c.batch, err = h.core.CollectChanges((free - n) / 2); err != nil {
 		return nil, err
--- a/internal/batch/drive/connect_test.go
+++ b/internal/batch/drive/connect_test.go
@@ -66,8 +66,8 @@
 			t.Errorf("long-running tasks were without a run for %s", outage)
 		}
 		c.stop()
-		for _, fault := range c.workers.Violations() {
-			t.Error(fault)
+		for _, violation := range c.workers.Violations() {
+			t.Error(violation)
 		}
 	})
 }
--- a/internal/batch/drive/holder.go
+++ b/internal/batch/drive/holder.go
@@ -35,7 +35,7 @@
 // Codec decodes what operators and workers have written in the store.
 type Codec struct {
 	IntentPrefix    string                              // of the operators' keys
-	DecodeIntent    func([]store.Entry) (Intent, error) // from all entries below IntentPrefix
+	DecodeIntent    func([]store.Entry) (Intent, error) // decodes all entries below IntentPrefix
 	DirectoryPrefix string                              // of the directory's keys
 	// DecodeMember decodes a worker's entry in the directory. It returns false for an entry that names no worker.
 	DecodeMember func(store.Entry) (sched.Member, bool)
@@ -78,7 +78,9 @@
 	directoryWatchPause   = 200 * time.Millisecond // between two watches of the directory, to which each worker writes about once a second
 	planInterval          = 100 * time.Millisecond // between plans without an event: leases expire, cooldowns end and occurrences fall due
 	minPlanPause          = 2 * time.Millisecond   // least pause after a plan, so that events close together share one plan
-	planPauseFactor       = 9                      // least pause after a plan, in multiples of the time that the plan took
+	// planPauseFactor is the least pause after a plan, in multiples of the time that the plan took. With 9, planning
+	// takes a tenth of the time at most.
+	planPauseFactor = 9
 	// commitDelay is how long ended runs wait to be stored with others. Under high load some 100 runs end
 	// each second, and a call to the store costs as much as a tenth of a second of a task.
 	commitDelay          = 20 * time.Millisecond
@@ -95,9 +97,9 @@
 type Holder struct {
 	opt          Options
 	log          logr.Logger
-	ctx          context.Context // ends with the tenure
-	countOrder   func(verb, outcome string)
-	countEnd     func(verb, outcome string) // of runs
+	ctx          context.Context            // ends with the tenure
+	countOrder   func(verb, outcome string) // counts an order
+	countEnd     func(verb, outcome string) // counts the end of a run
 	planWake     chan struct{}              // wakes planLoop
 	commitWake   chan struct{}              // wakes commitLoop, which may wait for more changes
 	urgentCommit chan struct{}              // wakes commitLoop for a waiting caller, without delay
@@ -265,9 +267,9 @@
 	return nil
 }
 
-// readJobs restores all jobs. It reads the progress first: a job that ended between the two reads would then
-// still be listed or be known to have ended. None ends in between, because the tenure's claim makes later
-// writes of the former holder fail.
+// readJobs restores all jobs. A job that ended between the two reads would be restored with outdated progress
+// and without its spec. None ends in between, because the tenure's claim makes later writes of the former
+// holder fail.
 func (h *Holder) readJobs(core *sched.Core, now time.Time) error {
 	records, err := h.opt.Store.Range(h.ctx, progressPrefix)
 	if err != nil {
--- a/internal/batch/drive/holder_test.go
+++ b/internal/batch/drive/holder_test.go
@@ -19,7 +19,7 @@
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-// runCluster runs a test on a cluster in virtual time and fails it for each fault that the workers observed.
+// runCluster runs a test on a cluster in virtual time and fails it for each violation that the workers observed.
 func runCluster(t *testing.T, work func(string) (time.Duration, sched.End), test func(c *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -27,8 +27,8 @@
 		time.Sleep(3 * time.Second)
 		test(c)
 		c.stop()
-		for _, fault := range c.workers.Violations() {
-			t.Error(fault)
+		for _, violation := range c.workers.Violations() {
+			t.Error(violation)
 		}
 	})
 }
@@ -213,8 +213,8 @@
 		t.Errorf("only %d of 150 jobs were accepted", len(accepted))
 	}
 	c.stop()
-	for _, fault := range c.workers.Violations() {
-		t.Error(fault)
+	for _, violation := range c.workers.Violations() {
+		t.Error(violation)
 	}
 }
 
--- a/internal/batch/drive/orders_test.go
+++ b/internal/batch/drive/orders_test.go
@@ -94,8 +94,8 @@
 		if counter.lost > maxLostStarts || counter.starts > 1000+maxLostStarts {
 			t.Errorf("%d starts for 1000 tasks, %d of them lost; want at most %d", counter.starts, counter.lost, maxLostStarts)
 		}
-		for _, fault := range c.workers.Violations() {
-			t.Error(fault)
+		for _, violation := range c.workers.Violations() {
+			t.Error(violation)
 		}
 	})
 }
@@ -118,8 +118,8 @@
 			t.Errorf("all tasks of answering workers run after %v, want at most 1s", took)
 		}
 		c.stop()
-		for _, fault := range c.workers.Violations() {
-			t.Error(fault)
+		for _, violation := range c.workers.Violations() {
+			t.Error(violation)
 		}
 	})
 }
--- a/internal/batch/drive/plan.go
+++ b/internal/batch/drive/plan.go
@@ -75,7 +75,8 @@
 }
 
 // executeOrder sends an order and passes the outcome to the core, also when the tenure is over. A worker that
-// has been fenced by a newer holder ends the tenure instead.
+// has been fenced by a newer holder ends the tenure instead. Each order is logged, except a throttle to a CPU limit
+// above 0 that was carried out.
 func (h *Holder) executeOrder(o sched.Order) {
 	start := time.Now()
 	outcome, cause := h.sendOrder(o)
--- a/internal/batch/drive/processor_test.go
+++ b/internal/batch/drive/processor_test.go
@@ -104,14 +104,17 @@
 	return result, err
 }
 
+// Get implements store.TxnStore.
 func (s *slowStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	return withTurns(ctx, s.cpu, func() (store.Entry, error) { return s.TxnStore.Get(ctx, key) })
 }
 
+// Range implements store.TxnStore.
 func (s *slowStore) Range(ctx context.Context, prefix string) (store.Listing, error) {
 	return withTurns(ctx, s.cpu, func() (store.Listing, error) { return s.TxnStore.Range(ctx, prefix) })
 }
 
+// Watch implements store.TxnStore.
 func (s *slowStore) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
 	next := after
 	changes, err := withTurns(ctx, s.cpu, func() (changes []store.Change, err error) {
@@ -124,19 +127,23 @@
 	return changes, next, nil
 }
 
+// Commit implements store.TxnStore.
 func (s *slowStore) Commit(ctx context.Context, t store.Txn) (uint64, error) {
 	return withTurns(ctx, s.cpu, func() (uint64, error) { return s.TxnStore.Commit(ctx, t) })
 }
 
+// OpenLease implements store.TxnStore.
 func (s *slowStore) OpenLease(ctx context.Context, ttl time.Duration) (string, error) {
 	return withTurns(ctx, s.cpu, func() (string, error) { return s.TxnStore.OpenLease(ctx, ttl) })
 }
 
+// RenewLease implements store.TxnStore.
 func (s *slowStore) RenewLease(ctx context.Context, lease string) error {
 	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.TxnStore.RenewLease(ctx, lease) })
 	return err
 }
 
+// CloseLease implements store.TxnStore.
 func (s *slowStore) CloseLease(ctx context.Context, lease string) error {
 	_, err := withTurns(ctx, s.cpu, func() (struct{}, error) { return struct{}{}, s.TxnStore.CloseLease(ctx, lease) })
 	return err
--- a/internal/batch/drive/staleness_test.go
+++ b/internal/batch/drive/staleness_test.go
@@ -45,7 +45,7 @@
 	s.beforeRead, s.beforeWatchReply = read, watch
 }
 
-// Range implements store.Multi.
+// Range implements store.TxnStore.
 func (s *directoryFaultStore) Range(ctx context.Context, prefix string) (store.Listing, error) {
 	if err := s.runFault(ctx, prefix, &s.beforeRead); err != nil {
 		return store.Listing{}, err
@@ -53,7 +53,7 @@
 	return s.TxnStore.Range(ctx, prefix)
 }
 
-// Watch implements store.Multi.
+// Watch implements store.TxnStore.
 func (s *directoryFaultStore) Watch(ctx context.Context, prefix string, after uint64, limit time.Duration) ([]store.Change, uint64, error) {
 	changes, next, err := s.TxnStore.Watch(ctx, prefix, after, limit)
 	if fault := s.runFault(ctx, prefix, &s.beforeWatchReply); fault != nil {
@@ -82,8 +82,8 @@
 func newFaultStoreCluster(t *testing.T, workers int, onStart func(sched.Order)) (*testCluster, *directoryFaultStore) {
 	s := &directoryFaultStore{mu: &sync.Mutex{}}
 	c := newTestCluster(t, 0, workers, newRand(1), runsFor(endless))
-	c.wrapStore = func(m store.TxnStore) store.TxnStore {
-		s.TxnStore = m
+	c.wrapStore = func(client store.TxnStore) store.TxnStore {
+		s.TxnStore = client
 		return s
 	}
 	c.wrapWorkers = func(client drive.WorkerClient) drive.WorkerClient { return &observedWorkers{client, onStart} }
--- a/internal/batch/drive/takeover_test.go
+++ b/internal/batch/drive/takeover_test.go
@@ -55,8 +55,8 @@
 						t.Errorf("all tasks run again after %v, want at most %v", took, maxOutage)
 					}
 					c.stop()
-					for _, fault := range c.workers.Violations() {
-						t.Error(fault)
+					for _, violation := range c.workers.Violations() {
+						t.Error(violation)
 					}
 				})
 			})
@@ -83,8 +83,8 @@
 				c.setCutZone("")
 				time.Sleep(5 * time.Second)
 				c.stop()
-				for _, fault := range c.workers.Violations() {
-					t.Error(fault)
+				for _, violation := range c.workers.Violations() {
+					t.Error(violation)
 				}
 			})
 		})
--- a/internal/batch/drive/watch.go
+++ b/internal/batch/drive/watch.go
@@ -41,17 +41,17 @@
 // readAll replaces the copy by a full read.
 func (w *prefixWatch) readAll(ctx context.Context) error {
 	start := time.Now()
-	page, err := w.store.Range(ctx, w.prefix)
+	listing, err := w.store.Range(ctx, w.prefix)
 	if err != nil {
 		return err
 	}
-	if page.Rev < w.rev {
+	if listing.Rev < w.rev {
 		w.confirmFresh(start) // the copy is newer than the answer
 		return nil
 	}
-	w.rev = page.Rev
-	w.entries = make(map[string]store.Entry, len(page.Entries))
-	for _, e := range page.Entries {
+	w.rev = listing.Rev
+	w.entries = make(map[string]store.Entry, len(listing.Entries))
+	for _, e := range listing.Entries {
 		w.entries[e.Key] = e
 	}
 	w.notifyChange(start)
--- a/internal/batch/drive/weakhost_test.go
+++ b/internal/batch/drive/weakhost_test.go
@@ -53,8 +53,8 @@
 			t.Errorf("the leases of %d runs expired", n)
 		}
 		c.stop()
-		for _, fault := range c.workers.Violations() {
-			t.Error(fault)
+		for _, violation := range c.workers.Violations() {
+			t.Error(violation)
 		}
 	})
 }
@@ -99,8 +99,8 @@
 			t.Errorf("the leases of %d runs expired", n)
 		}
 		c.stop()
-		for _, fault := range c.workers.Violations() {
-			t.Error(fault)
+		for _, violation := range c.workers.Violations() {
+			t.Error(violation)
 		}
 	})
 }
