--- a/internal/ctrl/lead/elector.go
+++ b/internal/ctrl/lead/elector.go
@@ -193,17 +193,17 @@
 
 // readStore reads the holder, the term and the load, and returns the revision to watch from.
 func (e *Elector) readStore(ctx context.Context) (uint64, error) {
-	p, err := e.opt.Store.Range(ctx, keyPrefix)
+	listing, err := e.opt.Store.Range(ctx, keyPrefix)
 	e.recordStoreResult(err)
 	if err != nil {
 		return 0, err
 	}
 	var holder *store.Entry
 	var stored storedState
-	for i, entry := range p.Entries {
+	for i, entry := range listing.Entries {
 		switch entry.Key {
 		case keyHolder:
-			holder = &p.Entries[i]
+			holder = &listing.Entries[i]
 		case keyTerm:
 			stored.termRev = entry.Rev
 			if err := json.Unmarshal(entry.Value, &stored.term); err != nil {
@@ -221,10 +221,10 @@
 	e.stored = stored
 	e.mu.Unlock()
 	if holder == nil {
-		e.setHolder(Holder{}, p.Rev)
-		return p.Rev, nil
+		e.setHolder(Holder{}, listing.Rev)
+		return listing.Rev, nil
 	}
-	return p.Rev, e.setHolderFromEntry(*holder)
+	return listing.Rev, e.setHolderFromEntry(*holder)
 }
 
 // setHolderFromEntry sets the known holder from the value of its key.
--- a/internal/ctrl/lead/tenure.go
+++ b/internal/ctrl/lead/tenure.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// resolveConflict finds out, after a conflict, whether the last write in the store is the write id itself, carried out
-// by an earlier call that got no answer. If so, it returns the revision of the write; if another claim wrote last, it
-// returns ErrNotHolder.
+// resolveConflict finds out, after a conflict, whether the last write in the store is the one that id identifies, carried
+// out by an earlier call that got no answer. If so, it returns the revision of the write; if another claim wrote last,
+// it returns ErrNotHolder.
 func (t *Tenure) resolveConflict(id writeID) (uint64, error) {
 	entry, err := t.elector.opt.Store.Get(t.ctx, keyLastWrite)
 	if err != nil {
--- a/internal/ctrl/lead/tenure_test.go
+++ b/internal/ctrl/lead/tenure_test.go
@@ -27,7 +27,7 @@
 	unanswered atomic.Int64 // number of renewals to come that get no answer
 }
 
-// RenewLease implements store.Multi.
+// RenewLease implements store.TxnStore.
 func (s *silentStore) RenewLease(ctx context.Context, lease string) error {
 	if s.unanswered.Add(-1) >= 0 {
 		wait.For(ctx, clientTimeout)
--- a/internal/proc/front/forward.go
+++ b/internal/proc/front/forward.go
@@ -29,7 +29,8 @@
 	newestVersion int64         // newest version of the configuration that an answer was based on
 }
 
-// defaultRequestTimeout limits the handling of a request that was forwarded by another process, without a deadline.
+// defaultRequestTimeout limits the handling of a request that another process has forwarded, as the call carries no
+// deadline.
 const defaultRequestTimeout = 3 * time.Second
 
 // Handle answers a caller's request, by forwarding it if another process is the holder.
--- a/internal/proc/front/handover.go
+++ b/internal/proc/front/handover.go
@@ -49,9 +49,9 @@
 	if capacity <= 0 || workers <= capacity {
 		return best, false
 	}
-	for _, o := range replies {
-		if !o.Failing && o.Term <= term && o.Carries > best.Carries {
-			best = o
+	for _, reply := range replies {
+		if !reply.Failing && reply.Term <= term && reply.Carries > best.Carries {
+			best = reply
 		}
 	}
 	if fullSpeedCapacity >= workers && best.Carries < workers {
--- a/internal/proc/front/peers.go
+++ b/internal/proc/front/peers.go
@@ -197,8 +197,8 @@
 // A single follower that the store answers may have become the holder, or be about to. A majority that is cut off from
 // the store together with the current holder wouldn't know.
 func confirmedByPeers(term int64, replies []followerReply, followers int) bool {
-	for _, a := range replies {
-		if !a.Failing || a.Term > term {
+	for _, reply := range replies {
+		if !reply.Failing || reply.Term > term {
 			return false
 		}
 	}
@@ -222,8 +222,8 @@
 	}
 	var replies []followerReply
 	for range addrs {
-		if o := <-results; o != nil {
-			replies = append(replies, *o)
+		if reply := <-results; reply != nil {
+			replies = append(replies, *reply)
 		}
 	}
 	return replies
