--- a/internal/batch/health/breaker.go
+++ b/internal/batch/health/breaker.go
@@ -46,7 +46,7 @@
 	b.consecutiveTrips = 0
 }
 
-// TripUntil keeps the breaker tripped at least until a time.
+// TripUntil keeps the breaker tripped at least until a time, as when the worker has refused a start.
 func (b *Breaker) TripUntil(until time.Time) {
 	if until.After(b.trippedUntil) {
 		b.trippedUntil = until
--- a/internal/batch/interf/model.go
+++ b/internal/batch/interf/model.go
@@ -67,7 +67,8 @@
 
 // Observe updates the model and a load forecast with a measurement, made at a time, of the tail latency of a task of
 // a latency-critical image, and the CPU usage of the best-effort images on its worker. The load forecast is that of
-// the task's step.
+// the task's step. A measurement without a tail latency is ignored, and so is one at or above saturationPressure where
+// that was expected.
 func (m *Model) Observe(at float64, l *LoadForecast, image string, tail, target time.Duration, usage CPUUsage) {
 	if tail <= 0 {
 		return
--- a/internal/batch/interf/state.go
+++ b/internal/batch/interf/state.go
@@ -13,8 +13,8 @@
 
 // Pair is the factor of a best-effort image for a latency-critical image.
 type Pair struct {
-	LatencyCritical string  `json:"serve"`  // image
-	BestEffort      string  `json:"fill"`   // image
+	LatencyCritical string  `json:"serve"`  // the latency-critical image
+	BestEffort      string  `json:"fill"`   // the best-effort image
 	Factor          float64 `json:"factor"` // pressure that the best-effort image adds when it uses all CPUs of a worker
 	StdDev          float64 `json:"spread"` // standard deviation of Factor
 }
